--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -181,21 +181,21 @@
         crowding_at_ = now;
         beat(now);
         rate_window_us_ = std::max(us(s_.ramp_time) / 2, 1e6);
-        if (s_.must_ask_list) set_call_timer();
+        if (s_.must_request_list) set_call_timer();
     }
 
     // ------------------------------------------------------------------------------------ 1. registry
 
     void on_list(Time now, ListKind kind, const std::vector<UpstreamEntry>& entries) {
         if (kind >= ListKind::failed) {
-            if (!s_.must_ask_list) return;
+            if (!s_.must_request_list) return;
             subscription_.on_end(now, kind);
             set_call_timer();
             return;
         }
         if (kind != ListKind::cached) subscription_.on_answer(now);
         if (kind != ListKind::delta) {
-            for (auto& u : upstreams_) u.entry.state = UpstreamState::gone;  // unless the list names it
+            for (auto& u : upstreams_) u.entry.state = UpstreamState::removed;  // unless the list names it
         }
         for (const auto& entry : entries) learn(now, entry, kind);
         if (kind == ListKind::delta) return;
@@ -246,7 +246,7 @@
 
     // T1 of a class: well above its usual latency, below the usual time left.
     void update_t1(std::size_t c) {
-        const double aim = us(s_.classes[c].aim);
+        const double aim = us(s_.classes[c].latency_target);
         ClassState& state = classes_[c];
         const double usual = state.usual.mean.value + t1_deviations * state.usual.deviation;
         state.t1_us =
@@ -271,7 +271,7 @@
     static bool knows_base(const ClassState& state) { return state.latency.samples >= base_answers; }
 
     double base_us(std::size_t c) const {
-        return knows_base(classes_[c]) ? classes_[c].base_us : base_guess * us(s_.classes[c].aim);
+        return knows_base(classes_[c]) ? classes_[c].base_us : base_guess * us(s_.classes[c].latency_target);
     }
 
     // q_avg now: without news it decays to zero, over a few of the longest T1.
@@ -308,7 +308,7 @@
         double sample = full_crowding;
         if (end.outcome == Outcome::ok) {
             sample = std::min(crowding_cap, us(end.latency) / std::max(1.0, base_us(c)));
-        } else if (end.outcome != Outcome::full && end.outcome != Outcome::timeout) {
+        } else if (end.outcome != Outcome::rejected && end.outcome != Outcome::timeout) {
             return;
         }
         // An answer weighs as much as the time that it speaks for, but never so much that it cuts alone.
@@ -373,7 +373,7 @@
         for (std::size_t d = 0; d < classes_.size(); ++d) {
             if (d != class_of(r) && density(d) <= own) continue;
             const double share = density(d) > own ? share_beside(own, density(d)) : 1;
-            if (!in_time(u, d, share * us(s_.classes[d].aim), now)) return false;
+            if (!in_time(u, d, share * us(s_.classes[d].latency_target), now)) return false;
         }
         return true;
     }
@@ -389,7 +389,7 @@
             sample_delay(u, held * u.per_held_us, now);
         } else if (answered || end.outcome == Outcome::timeout) {
             sample_delay(u, latency, now);  // a time-out counts its timer
-        } else if (end.outcome == Outcome::full) {
+        } else if (end.outcome == Outcome::rejected) {
             sample_delay(u, classes_[c].t1_us, now);
         }
     }
@@ -406,7 +406,8 @@
 
     bool open_link(const Upstream& u, Time now) const {
         return u.linked && !u.refused &&
-               (u.in_flight > 0 || s_.idle_close <= Micros{0} || now < u.idle_since + s_.idle_close);
+               (u.in_flight > 0 || s_.connection_idle_timeout <= Micros{0} ||
+                now < u.idle_since + s_.connection_idle_timeout);
     }
 
     // ----------------------------------------------------------------------- 3. choosing an upstream
@@ -429,7 +430,7 @@
 
     void put_on_ring(std::size_t i) {
         Upstream& u = upstreams_[i];
-        const bool listed = u.entry.state != UpstreamState::gone;
+        const bool listed = u.entry.state != UpstreamState::removed;
         const auto ring = listed ? (in_home_zone(u) ? &home_ring_ : &away_ring_) : nullptr;
         if (ring == u.ring) return;
         const auto turn_of = [&](std::size_t each) { return upstreams_[each].turn; };
@@ -458,9 +459,9 @@
     }
 
     void learn_zone(const Upstream& u, const AttemptEnd& end, std::size_t c) {
-        const bool lost = end.outcome == Outcome::timeout || end.outcome == Outcome::full;
+        const bool lost = end.outcome == Outcome::timeout || end.outcome == Outcome::rejected;
         if (!in_home_zone(u) || (!lost && end.outcome != Outcome::ok)) return;
-        const double sample = lost ? 1 : std::min(1.0, us(end.latency) / us(s_.classes[c].aim));
+        const double sample = lost ? 1 : std::min(1.0, us(end.latency) / us(s_.classes[c].latency_target));
         zone_delay_ += zone_weight * (sample - zone_delay_);
     }
 
@@ -576,7 +577,7 @@
     // Where an answer after the aim is worth nothing, a request ends with its aim unless it is streamed.
     Time end_of_worth(const Request& request, Time arrived_at) const {
         const ClassSettings& c = s_.classes[static_cast<std::size_t>(request.class_index)];
-        return c.late_worth > 0 || c.streams ? request.deadline : arrived_at + c.aim;
+        return c.late_worth > 0 || c.streams ? request.deadline : arrived_at + c.latency_target;
     }
 
     // What came in while this balancer stalled has waited here: an overdue heartbeat tells of the stall, and
@@ -623,10 +624,10 @@
         if (r.done || now >= send_by(r)) return false;
         if (static_cast<int>(r.attempts.size()) >= s_.max_attempts) return false;
         if (r.in_flight > 0) return false;
-        if (c.effect == Effect::safe) return true;
+        if (c.effect == Effect::idempotent) return true;
         for (const auto& a : r.attempts) {
             if (!a.may_have_run) continue;
-            if (c.effect == Effect::unsafe) return false;
+            if (c.effect == Effect::at_most_once) return false;
             if (a.group != group_of(c.group, upstreams_[to].entry)) return false;
         }
         return true;
@@ -637,8 +638,8 @@
     Time send_by(const Open& r) const {
         const ClassSettings& c = s_.classes[class_of(r)];
         const auto ran = std::ranges::find_if(r.attempts, &Attempt::may_have_run);
-        if (c.effect != Effect::keyed || ran == r.attempts.end()) return r.request.deadline;
-        return std::min(r.request.deadline, ran->sent_at + c.window - s_.tick);
+        if (c.effect != Effect::deduplicated || ran == r.attempts.end()) return r.request.deadline;
+        return std::min(r.request.deadline, ran->sent_at + c.dedup_window - s_.tick);
     }
 
     static int group_of(Group group, const UpstreamEntry& entry) {
@@ -672,10 +673,10 @@
     Micros attempt_timer(const Open& r, Time now) const {
         const ClassSettings& c = s_.classes[class_of(r)];
         const Micros timer = gap(r);
-        if (c.effect == Effect::unsafe || c.streams) return Micros{0};
+        if (c.effect == Effect::at_most_once || c.streams) return Micros{0};
         if (static_cast<int>(r.attempts.size()) + 1 >= s_.max_attempts) return Micros{0};
         if (now + timer + s_.tick >= r.request.deadline) return Micros{0};
-        if (c.effect == Effect::keyed && timer + 2 * s_.tick >= c.window) return Micros{0};
+        if (c.effect == Effect::deduplicated && timer + 2 * s_.tick >= c.dedup_window) return Micros{0};
         return timer;
     }
 
@@ -707,9 +708,9 @@
         Attempt& a = r.attempts[static_cast<std::size_t>(end.attempt)];
         if (!a.in_flight) return;
         a.in_flight = false;
-        const bool turned_away = end.outcome == Outcome::full || end.outcome == Outcome::connect_failed ||
-                                 end.outcome == Outcome::moot;
-        a.may_have_run = !turned_away || end.doubtful;
+        const bool turned_away = end.outcome == Outcome::rejected || end.outcome == Outcome::connect_failed ||
+                                 end.outcome == Outcome::not_sent;
+        a.may_have_run = !turned_away || end.possible_duplicate;
         --r.in_flight;
         Upstream& u = upstreams_[a.upstream];
         if (--u.in_flight == 0) std::erase(busy_, a.upstream);
@@ -728,11 +729,11 @@
         }
         learn_service(u, end.outcome, c, now);
         learn_room(end, c, a.sent_at, now);
-        learn_full(u, end.outcome == Outcome::full, now);
+        learn_full(u, end.outcome == Outcome::rejected, now);
         learn_delay(u, end, c, now);
         learn_zone(u, end, c);
         learn_health(u, end.outcome, c, now);
-        if (end.closed) r.done = true;
+        if (end.request_done) r.done = true;
         if (r.done) return release_if_over(slot);
         if (!may_try_again(r, now)) return finish(slot);
         // What was turned away without having run goes on through the gate without a gap, at first.
@@ -789,11 +790,12 @@
     }
 
     void learn_health(Upstream& u, Outcome outcome, std::size_t c, Time now) {
-        if (outcome == Outcome::cancelled || outcome == Outcome::moot) return;
+        if (outcome == Outcome::cancelled || outcome == Outcome::not_sent) return;
         // A time-out says something of the upstream only while nothing else is answered there.
         const bool busy = u.answered_at + micros(classes_[c].t1_us) >= now;
         if (outcome == Outcome::timeout && busy) return;
-        const bool answered = outcome == Outcome::ok || outcome == Outcome::full || outcome == Outcome::error;
+        const bool answered =
+            outcome == Outcome::ok || outcome == Outcome::rejected || outcome == Outcome::error;
         if (answered) u.answered_at = now;
         if (outcome == Outcome::connect_failed) u.died = true;
         if (outcome != Outcome::ok)
@@ -871,7 +873,7 @@
                 u.trial = true;
                 spend_cold_budget(u);
                 actions_.probe(u.entry.id);
-            } else if (u.died || s_.classes[c].effect == Effect::safe) {
+            } else if (u.died || s_.classes[c].effect == Effect::idempotent) {
                 u.out_until = now + u.penalty;
                 return i;
             }
@@ -929,7 +931,8 @@
 
     // Requests a second that a warm upstream serves for us at least: one in the longest aim for the fleet.
     double least_rate() const {
-        return 1e6 / us(std::ranges::max(s_.classes, {}, &ClassSettings::aim).aim) / s_.balancers;
+        return 1e6 / us(std::ranges::max(s_.classes, {}, &ClassSettings::latency_target).latency_target) /
+               s_.balancers;
     }
 
     void spend_cold_budget(Upstream& u) { u.cold_budget.tokens -= 1; }
@@ -959,7 +962,8 @@
     // Rule 2: a refusal promises that trying again is harmless.
     bool may_refuse(const Open& r) const {
         const ClassSettings& c = s_.classes[class_of(r)];
-        if (c.effect == Effect::safe || (c.effect == Effect::keyed && c.group == Group::all)) return true;
+        if (c.effect == Effect::idempotent || (c.effect == Effect::deduplicated && c.group == Group::all))
+            return true;
         return std::ranges::none_of(r.attempts, &Attempt::may_have_run);
     }
 
@@ -994,7 +998,7 @@
     double density(std::size_t c) const {
         if (classes_[c].left_us == 0) return 0;
         const double work =
-            classes_[c].latency.samples == 0 ? us(s_.classes[c].aim) : classes_[c].latency.value;
+            classes_[c].latency.samples == 0 ? us(s_.classes[c].latency_target) : classes_[c].latency.value;
         return s_.classes[c].worth / std::max(1.0, work);
     }
 
@@ -1004,7 +1008,7 @@
     void turn_away(std::size_t slot, Time now) {
         const Open& r = open_[slot];
         if (upstreams_.empty() ||
-            us(now - r.arrived_at + gap(r)) < us(s_.classes[class_of(r)].aim) * early_share) {
+            us(now - r.arrived_at + gap(r)) < us(s_.classes[class_of(r)].latency_target) * early_share) {
             wait_gap(slot, now, now);
         } else {
             finish(slot);
@@ -1018,7 +1022,7 @@
         r.done = true;
         if (may_refuse(r)) {
             const Micros advice = std::min(micros(base_us(class_of(r))), s_.max_retry_after);
-            actions_.refuse(r.request.id, s_.retry_after ? advice : Micros{0});
+            actions_.refuse(r.request.id, s_.may_advise_retry_after ? advice : Micros{0});
         } else {
             actions_.fail(r.request.id);
         }
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -65,9 +65,9 @@
 bool method_fits(const HttpRequest& message, Effect effect) {
     const bool keyed = !message["Idempotency-Key"].empty();
     switch (effect) {
-        case Effect::safe: return message.method() == http::verb::get;
-        case Effect::keyed: return message.method() == http::verb::post && keyed;
-        case Effect::unsafe: return message.method() == http::verb::post && !keyed;
+        case Effect::idempotent: return message.method() == http::verb::get;
+        case Effect::deduplicated: return message.method() == http::verb::post && keyed;
+        case Effect::at_most_once: return message.method() == http::verb::post && !keyed;
     }
     return false;
 }
--- a/src/net/discovery_call.cpp
+++ b/src/net/discovery_call.cpp
@@ -93,7 +93,7 @@
     if (may_check()) {
         set_timer(there_at_ + check_gap, &DiscoveryCall::begin_check);
     } else {
-        set_timer(there_at_ + watch_silence, &DiscoveryCall::give_up);
+        set_timer(there_at_ + watch_idle_timeout, &DiscoveryCall::give_up);
     }
 }
 
--- a/src/net/discovery_call.h
+++ b/src/net/discovery_call.h
@@ -26,10 +26,10 @@
 // The time in which the connection of a check has to come up. The system repeats a request for one that was
 // lost after 1 s, so that one lost request proves nothing.
 inline constexpr std::chrono::milliseconds check_time{1750};
-// A check begins so long after the call, or after the check before it. Its time is then over `watch_silence`
-// after either: a call that is cut off is given up no later than a watch that has fallen silent, unless its
-// own connection came up late.
-inline constexpr Micros check_gap = watch_silence - check_time;
+// A check begins so long after the call, or after the check before it. Its time is then over
+// `watch_idle_timeout` after either: a call that is cut off is given up no later than a watch that has fallen
+// silent, unless its own connection came up late.
+inline constexpr Micros check_gap = watch_idle_timeout - check_time;
 // Checks of one call, each of which keeps it out for another `check_gap`: with one it is given up after 4.25
 // s. Most balancers then call anew, 0.5 to 2.35 s later, before what they miss counts as told, after 6 s.
 inline constexpr int checks_most = 1;
@@ -58,7 +58,7 @@
 public:
     enum class Kind { list, watch };
 
-    // Makes so many checks at most; with none, a call without a word for `watch_silence` is given up.
+    // Makes so many checks at most; with none, a call without a word for `watch_idle_timeout` is given up.
     DiscoveryCall(boost::asio::io_context& loop, Kind kind, std::string target, int checks,
                   DiscoveryCallEvents& events);
 
--- a/src/net/discovery_list.cpp
+++ b/src/net/discovery_list.cpp
@@ -15,7 +15,7 @@
 UpstreamState state_of(const std::string& word) {
     if (word == "active") return UpstreamState::ready;
     if (word == "leaving") return UpstreamState::draining;
-    if (word == "left") return UpstreamState::gone;
+    if (word == "left") return UpstreamState::removed;
     throw std::invalid_argument("unknown health: " + word);
 }
 
--- a/src/net/host.cpp
+++ b/src/net/host.cpp
@@ -40,7 +40,7 @@
 
 // The agent that pushes lists answers at once: a call to it that hears nothing is made anew early, as the
 // policy uses a pushed list for as long as it has no newer one.
-int checks_of(const Settings& settings) { return settings.must_ask_list ? checks_most : 0; }
+int checks_of(const Settings& settings) { return settings.must_request_list ? checks_most : 0; }
 
 HttpResponse refusal(Micros retry_after) {
     HttpResponse response(http::status::service_unavailable, 11);
@@ -71,7 +71,8 @@
       config_(std::move(config)),
       clients_(loop, clock_, config_.settings, sockets_of(config_) / 2, *this),
       upstreams_(loop, clock_,
-                 {config_.settings.connect_timeout, config_.settings.idle_close, sockets_of(config_) / 2},
+                 {config_.settings.connect_timeout, config_.settings.connection_idle_timeout,
+                  sockets_of(config_) / 2},
                  config_.report_fields, *this),
       discovery_(loop, config_.discovery, config_.names, *this, checks_of(config_.settings)),
       timer_(loop),
@@ -81,7 +82,7 @@
       policy_(config_.settings, config_.seed, clock_.now(), *this) {
     discovery_.start_from(config_.known.version);
     handle([this](Time now) { tell_policy(now, ListKind::cached, config_.known); });
-    if (!config_.settings.must_ask_list) discovery_.watch();
+    if (!config_.settings.must_request_list) discovery_.watch();
     clients_.listen(config_.listen);
     log_figures();
     net::log("listening");
@@ -125,7 +126,7 @@
         AttemptResult moot;
         moot.attempt = attempt;
         moot.upstream = upstream;
-        moot.outcome = Outcome::moot;
+        moot.outcome = Outcome::not_sent;
         on_attempt_result(std::move(moot));
         return;
     }
@@ -175,14 +176,16 @@
 void Host::probe(UpstreamId upstream) {
     actions_.push_back([=, this] {
         Micros longest{};
-        for (const auto& c : config_.settings.classes) longest = std::max(longest, c.aim);
-        const bool reported = config_.settings.reports == ReportSource::probes;
+        for (const auto& c : config_.settings.classes) longest = std::max(longest, c.latency_target);
+        const bool reported = config_.settings.report_source == ReportSource::probes;
         upstreams_.probe(upstream, reported ? "/status/load" : "/health", clock_.now() + longest);
     });
 }
 
 // Not allowed where this balancer serves.
-void Host::tell(std::optional<int>, std::string_view) { net::log("fault: the policy wrote to its peers"); }
+void Host::send_message(std::optional<int>, std::string_view) {
+    net::log("fault: the policy wrote to its peers");
+}
 
 void Host::log(std::string_view line) { net::log(line); }
 
@@ -231,8 +234,8 @@
     end.request = request;
     end.attempt = result.attempt.number;
     end.outcome = result.outcome;
-    end.closed = found->second.answered;
-    end.doubtful = result.doubtful;
+    end.request_done = found->second.answered;
+    end.possible_duplicate = result.doubtful;
     end.latency = result.latency;
     end.upstream = result.upstream;
     end.report = std::move(result.report);
@@ -262,7 +265,7 @@
     std::vector<UpstreamEntry> entries;
     for (const auto& u : list.upstreams) {
         upstreams_.set_address(u.entry.id, u.address);
-        if (u.entry.state == UpstreamState::gone) upstreams_.close_idle(u.entry.id);
+        if (u.entry.state == UpstreamState::removed) upstreams_.close_idle(u.entry.id);
         entries.push_back(u.entry);
     }
     // Guards against a connection that comes up after its upstream has been told to drain: what was sent
@@ -286,7 +289,7 @@
 
 // Where lists are pushed the policy does not ask, and the agent on this machine costs nothing.
 void Host::watch_again(Micros gap) {
-    if (config_.settings.must_ask_list) return;
+    if (config_.settings.must_request_list) return;
     rewatch_.expires_after(gap);
     rewatch_.async_wait([this](error_code error) {
         if (!error) discovery_.watch();
--- a/src/net/host.h
+++ b/src/net/host.h
@@ -70,7 +70,7 @@
     void unwatch() override;
     void fetch() override;
     void close_idle(UpstreamId upstream) override;
-    void tell(std::optional<int> peer, std::string_view payload) override;
+    void send_message(std::optional<int> peer, std::string_view payload) override;
     void log(std::string_view line) override;
 
     void on_client_request(ClientRequest request) override;
--- a/src/net/upstreams.cpp
+++ b/src/net/upstreams.cpp
@@ -21,13 +21,13 @@
     const bool turns_away = answer.result() == http::status::service_unavailable ||
                             answer.result() == http::status::gateway_timeout;
     // A bare 503 may come from behind a request that has run.
-    return turns_away && answer["X-Rejected"] == "1" ? Outcome::full : Outcome::error;
+    return turns_away && answer["X-Rejected"] == "1" ? Outcome::rejected : Outcome::error;
 }
 
 }  // namespace
 
-Report parse_report(std::string_view text, const std::vector<std::string>& fields) {
-    Report report(fields.size(), 0.0F);
+LoadReport parse_report(std::string_view text, const std::vector<std::string>& fields) {
+    LoadReport report(fields.size(), 0.0F);
     std::size_t found = 0;
     while (!text.empty()) {
         const auto comma = text.find(',');
@@ -46,7 +46,7 @@
         report[static_cast<std::size_t>(field - fields.begin())] = value;
         ++found;
     }
-    return found == fields.size() ? report : Report{};
+    return found == fields.size() ? report : LoadReport{};
 }
 
 // One connection, which carries one exchange at a time. It always waits for what comes, so that its end is
@@ -105,7 +105,7 @@
     // The connection goes with the attempt: what may still come on it belongs to no other.
     void cancel() { end(Outcome::cancelled); }
     void withdraw() {
-        if (attempt_) end(Outcome::moot);
+        if (attempt_) end(Outcome::not_sent);
     }
 
     // Has the last byte been handed over? Until then it has not run.
@@ -173,7 +173,7 @@
         } else if (whole()) {
             end(Outcome::timeout);
         } else if (owner_.clock_.now() >= send_by_) {
-            end(Outcome::moot);
+            end(Outcome::not_sent);
         } else {
             ++owner_.figures_.slow;
             end(Outcome::connect_failed);
@@ -182,7 +182,7 @@
 
     void write() {
         // The connection came up late, or the loop is late itself: from here on it could run once more.
-        if (owner_.clock_.now() >= send_by_) return end(Outcome::moot);
+        if (owner_.clock_.now() >= send_by_) return end(Outcome::not_sent);
         if (!write_some(socket_, out_, written_)) return broken();
         arm(whole() ? expires_ : send_by_);
         if (whole()) return;
@@ -242,7 +242,7 @@
     void answered(bool ended) {
         HttpResponse answer = parser_->release();
         const Outcome outcome = outcome_of(answer);
-        const bool refused = outcome == Outcome::full;
+        const bool refused = outcome == Outcome::rejected;
         const Time now = owner_.clock_.now();
         if (read_second_answer()) owner_.pool_.on_second_answer(upstream_, now, Micros{0});
         // Before the request is whole there is nothing to answer but that it will not be taken, and behind a
@@ -324,7 +324,7 @@
     const Time now = clock_.now();
     const auto address = addresses_.find(upstream);
     if (now >= expires || address == addresses_.end()) {
-        report(attempt, upstream, Outcome::moot, now);
+        report(attempt, upstream, Outcome::not_sent, now);
         return;
     }
     // A probe has a connection of its own: no late answer to it may reach a client, nor the other way round.
@@ -337,7 +337,7 @@
         attempts_.emplace(attempt, opened);
         opened->connect(address->second, attempt, std::move(request), expires, send_by);
     } else {
-        report(attempt, upstream, Outcome::moot, now);
+        report(attempt, upstream, Outcome::not_sent, now);
     }
 }
 
@@ -377,7 +377,7 @@
     ++figures_.sent;
     figures_.reset += outcome == Outcome::reset;
     figures_.timeout += outcome == Outcome::timeout;
-    figures_.moot += outcome == Outcome::moot;
+    figures_.moot += outcome == Outcome::not_sent;
     AttemptResult result{attempt, upstream, outcome, latency, {}, std::move(answer), doubtful};
     if (!report_fields_.empty()) {
         const auto text = result.answer["X-Load-Report"];
--- a/src/net/upstreams.h
+++ b/src/net/upstreams.h
@@ -32,7 +32,7 @@
     UpstreamId upstream = 0;
     Outcome outcome = Outcome::ok;
     Micros latency{};
-    Report report;
+    LoadReport report;
     HttpResponse answer;    // of an outcome ok
     bool doubtful = false;  // as in AttemptEnd
 };
@@ -64,10 +64,10 @@
     void set_address(UpstreamId upstream, const boost::asio::ip::tcp::endpoint& address);
     void close_idle(UpstreamId upstream);
     // Sends the request once, with the time up to `expires` in X-Budget-Ms; what has not come by then is
-    // given up. What has not gone out whole by `send_by` ends as moot.
+    // given up. What has not gone out whole by `send_by` ends as `not_sent`.
     void send(AttemptKey attempt, UpstreamId upstream, HttpRequest request, Time expires, Time send_by);
     void cancel(AttemptKey attempt);
-    // Takes back those of which the last byte has not been handed over: they end as moot.
+    // Takes back those of which the last byte has not been handed over: they end as `not_sent`.
     void withdraw(const std::function<bool(AttemptKey, UpstreamId)>& concerned);
     // Asks the upstream how it is, at the given path: a request like any other but for its kind of result.
     void probe(UpstreamId upstream, std::string_view path, Time expires);
@@ -106,6 +106,6 @@
 };
 
 // Values in the order of `fields`; empty when the text doesn't hold them all as numbers.
-Report parse_report(std::string_view text, const std::vector<std::string>& fields);
+LoadReport parse_report(std::string_view text, const std::vector<std::string>& fields);
 
 }  // namespace flaxdoor::net
--- a/src/policy/list_subscription.cpp
+++ b/src/policy/list_subscription.cpp
@@ -60,7 +60,7 @@
 
 ListSubscription::ListSubscription(const Settings& settings, util::Random& random, Time now)
     : settings_(settings), random_(random), margin_(micros(us(settings.drain_grace) * margin_share)) {
-    if (!settings.must_ask_list) return;
+    if (!settings.must_request_list) return;
     slot_ = static_cast<double>(settings.rank) / settings.balancers;
     lost_at_ = now;
     told_at_ = now + told_at_most;
@@ -95,7 +95,7 @@
     } else if (was_subscribed && kind == ListKind::silent) {
         up_when_lost_ = true;
         slot_ = random_.unit();  // each balancer notices it at a time of its own
-        lose(now, now - watch_silence + told_at_most, now - watch_silence + told_at_most);
+        lose(now, now - watch_idle_timeout + told_at_most, now - watch_idle_timeout + told_at_most);
     } else if (was_subscribed) {
         up_when_lost_ = kind == ListKind::closed;
         lose(now, now + told_after_end, now + told_at_most);
--- a/src/settings_check.cpp
+++ b/src/settings_check.cpp
@@ -12,9 +12,9 @@
 }
 
 void check_class(const ClassSettings& c) {
-    require(c.aim > Micros{0}, "aim must be positive");
-    require(c.deadline >= c.aim, "deadline must not be below aim");
-    require(c.effect != Effect::keyed || c.window > Micros{0}, "window must be positive");
+    require(c.latency_target > Micros{0}, "aim must be positive");
+    require(c.deadline >= c.latency_target, "deadline must not be below aim");
+    require(c.effect != Effect::deduplicated || c.dedup_window > Micros{0}, "window must be positive");
 }
 
 }  // namespace
@@ -31,7 +31,7 @@
     require(s.ramp_time >= Micros{0}, "ramp_time must not be negative");
     require(s.fall_span >= Micros{0}, "fall_span must not be negative");
     require(s.fall_span == Micros{0} || s.fall_multiple > 0, "fall_multiple must be positive");
-    require(!s.must_ask_list || s.ask_within > Micros{0}, "ask_within must be positive");
+    require(!s.must_request_list || s.ask_within > Micros{0}, "ask_within must be positive");
     for (const auto& c : s.classes) check_class(c);
 }
 
--- a/src/simhost.cpp
+++ b/src/simhost.cpp
@@ -39,7 +39,7 @@
     void unwatch() override { reply_.watch(number_, false); }
     void fetch() override { reply_.fetch(number_); }
     void close_idle(UpstreamId upstream) override { reply_.close_idle(number_, upstream); }
-    void tell(std::optional<int> peer, std::string_view payload) override {
+    void send_message(std::optional<int> peer, std::string_view payload) override {
         reply_.tell(number_, peer, payload);
     }
     void log(std::string_view line) override { reply_.log(number_, line); }
@@ -92,8 +92,8 @@
     static void deliver(Time now, Instance& to, const wire::TimerEvent& body) {
         if (to.policy()) to.policy()->on_timer(now, body.token);
     }
-    static void deliver(Time now, Instance& to, const AttemptStart& body) {
-        if (to.policy()) to.policy()->on_started(now, body);
+    static void deliver(Time now, Instance& to, const ResponseStart& body) {
+        if (to.policy()) to.policy()->on_response_start(now, body);
     }
     static void deliver(Time now, Instance& to, const wire::ClientGoneEvent& body) {
         if (to.policy()) to.policy()->on_client_gone(now, body.request);
--- a/src/wire.cpp
+++ b/src/wire.cpp
@@ -64,12 +64,12 @@
     switch (status) {
         case 0: return Outcome::ok;
         case 255: return Outcome::error;
-        case 254: return Outcome::full;
+        case 254: return Outcome::rejected;
         case 253: return Outcome::timeout;
         case 252: return Outcome::connect_failed;
         case 251: return Outcome::reset;
         case 250: return Outcome::cancelled;
-        case 249: return Outcome::moot;
+        case 249: return Outcome::not_sent;
         default: return std::nullopt;
     }
 }
@@ -120,7 +120,7 @@
             if (!span) throw WireError("impossible time" + where());
             return *span;
         };
-        const auto read_report = [&](std::size_t at, Report& report) {
+        const auto read_report = [&](std::size_t at, LoadReport& report) {
             const auto n = load<std::uint8_t>(record, at);
             if (n > 4) throw WireError("load report too long" + where());
             report.resize(n);
@@ -177,7 +177,7 @@
                 end.request = load<std::uint32_t>(record, 6);
                 end.attempt = load<std::uint8_t>(record, 10);
                 end.outcome = outcome_at(11);
-                end.closed = load<std::uint8_t>(record, 12) != 0;
+                end.request_done = load<std::uint8_t>(record, 12) != 0;
                 end.latency = span_at(13);
                 end.upstream = load_upstream(record, 21);
                 read_report(27, end.report);
@@ -195,8 +195,8 @@
             }
             case event_code::bell: event.body = TimerEvent{load<std::uint64_t>(record, 6)}; break;
             case event_code::under_way:
-                event.body = AttemptStart{load<std::uint32_t>(record, 6), load<std::uint8_t>(record, 10),
-                                          load_upstream(record, 11), span_at(17)};
+                event.body = ResponseStart{load<std::uint32_t>(record, 6), load<std::uint8_t>(record, 10),
+                                           load_upstream(record, 11), span_at(17)};
                 break;
             case event_code::lapsed: event.body = ClientGoneEvent{load<std::uint32_t>(record, 6)}; break;
             case event_code::datagram:
@@ -230,7 +230,7 @@
         entry.cell = load<std::uint16_t>(bytes, 10);
         const auto state = load<std::uint8_t>(bytes, 12);
         if (state > 2) throw WireError("unknown state of an upstream" + where());
-        constexpr UpstreamState states[] = {UpstreamState::gone, UpstreamState::ready,
+        constexpr UpstreamState states[] = {UpstreamState::removed, UpstreamState::ready,
                                             UpstreamState::draining};
         entry.state = states[state];
         entry.weight = load<float>(bytes, 13);
@@ -419,9 +419,9 @@
 
 Effect effect_of(const Facts& facts, const std::string& name) {
     const auto word = facts.text(name);
-    if (word == "idempotent") return Effect::safe;
-    if (word == "deduplicated") return Effect::keyed;
-    if (word == "at_most_once") return Effect::unsafe;
+    if (word == "idempotent") return Effect::idempotent;
+    if (word == "deduplicated") return Effect::deduplicated;
+    if (word == "at_most_once") return Effect::at_most_once;
     Facts::unreadable(name);
 }
 
@@ -436,27 +436,27 @@
 ReportField field_of(std::string_view word) {
     if (word == "active") return ReportField::in_flight;
     if (word == "waiting") return ReportField::queued;
-    if (word == "cpu") return ReportField::utilisation;
-    if (word == "avg_ms") return ReportField::service_ms;
-    if (word == "rps") return ReportField::rate;
-    if (word == "err_rps") return ReportField::errors;
+    if (word == "cpu") return ReportField::cpu_utilisation;
+    if (word == "avg_ms") return ReportField::service_time_ms;
+    if (word == "rps") return ReportField::served_per_s;
+    if (word == "err_rps") return ReportField::errors_per_s;
     return ReportField::other;
 }
 
 ReportSource source_of(const Facts& facts, const std::string& name) {
     const auto word = facts.find(name).value_or("off");
     if (word == "off") return ReportSource::none;
-    if (word == "inline") return ReportSource::answers;
+    if (word == "inline") return ReportSource::responses;
     if (word == "on_probe") return ReportSource::probes;
     Facts::unreadable(name);
 }
 
-Weights weights_of(const Facts& facts, const std::string& name) {
+WeightMeaning weights_of(const Facts& facts, const std::string& name) {
     const auto word = facts.find(name).value_or("off");
-    if (word == "off") return Weights::none;
-    if (word == "nominal") return Weights::nominal;
-    if (word == "rough") return Weights::rough;
-    if (word == "live") return Weights::live;
+    if (word == "off") return WeightMeaning::none;
+    if (word == "nominal") return WeightMeaning::nominal;
+    if (word == "rough") return WeightMeaning::rough;
+    if (word == "live") return WeightMeaning::live;
     Facts::unreadable(name);
 }
 
@@ -485,16 +485,16 @@
         ClassSettings c;
         c.name = std::string(facts.find(at + "name").value_or(""));
         c.deadline = facts.span(at + "hard_limit");
-        c.aim = std::min(facts.span(at + "aim"), c.deadline);  // what comes later finds no client
+        c.latency_target = std::min(facts.span(at + "aim"), c.deadline);  // what comes later finds no client
         c.worth = facts.number(at + "worth", 1);
         c.late_worth = facts.number(at + "late_worth", 0);
         c.effect = effect_of(facts, at + "effect");
-        if (c.effect == Effect::keyed) {
+        if (c.effect == Effect::deduplicated) {
             c.group = group_of(facts, at + "group");
-            c.window = facts.span(at + "window");
+            c.dedup_window = facts.span(at + "window");
         }
         c.streams = facts.flag(at + "stream", false);
-        c.aim_stretch = facts.number(at + "aim_stretch", 0);
+        c.latency_target_per_work = facts.number(at + "aim_stretch", 0);
         s.classes.push_back(std::move(c));
     }
     for (int i = 0; i < facts.count("tenants"); ++i) {
@@ -507,31 +507,31 @@
 
     const auto mode = facts.text("registry_mode");
     if (mode != "ask" && mode != "push") Facts::unreadable("registry_mode");
-    s.must_ask_list = mode == "ask";
+    s.must_request_list = mode == "ask";
     s.may_probe = facts.flag("limits.may_probe", false);
     s.may_cancel = facts.flag("limits.cancel", false);
-    s.retry_after = facts.flag("limits.retry_after", false);
-    s.passes_deadline = facts.flag("specifics.passes_deadline", false);
-    s.marks_retry = facts.flag("callers.marks_retry", false);
-    s.may_tell_peers = facts.flag("limits.peers", false);
-    s.weights = weights_of(facts, "weights");
+    s.may_advise_retry_after = facts.flag("limits.retry_after", false);
+    s.upstreams_propagate_deadline = facts.flag("specifics.passes_deadline", false);
+    s.clients_mark_retries = facts.flag("callers.marks_retry", false);
+    s.may_message_peers = facts.flag("limits.peers", false);
+    s.weight_meaning = weights_of(facts, "weights");
     s.max_attempts = facts.whole("limits.max_attempts");
     s.max_retry_after = facts.span("limits.max_retry_after", Micros{0});
     s.connect_timeout = facts.span("limits.connect_timeout", Micros{0});
-    s.max_open = facts.whole("limits.max_open", 0);
-    s.idle_close = facts.span("limits.idle_close", Micros{0});
+    s.max_open_requests = facts.whole("limits.max_open", 0);
+    s.connection_idle_timeout = facts.span("limits.idle_close", Micros{0});
     s.streams_per_connection = facts.whole("limits.streams_per_conn", 1);
     s.cpu_per_s = Micros(facts.whole("limits.cpu_us_per_s", 0));
     s.cpu_us_per_request = facts.number("limits.cpu_us_per_request", 0);
-    s.reports = source_of(facts, "load_report.how");
-    if (s.reports != ReportSource::none) {
+    s.report_source = source_of(facts, "load_report.how");
+    if (s.report_source != ReportSource::none) {
         for (const auto word : Facts::split(facts.find("load_report.fields").value_or(""))) {
             s.report_fields.push_back(field_of(word));
         }
     }
 
-    s.answer_slack = facts.span("invariants.answer_slack", Micros{0});
-    s.ask_within = s.must_ask_list ? facts.span("invariants.ask_within") : Micros{0};
+    s.response_slack = facts.span("invariants.answer_slack", Micros{0});
+    s.ask_within = s.must_request_list ? facts.span("invariants.ask_within") : Micros{0};
     s.drain_grace = facts.span("invariants.drain_grace", Micros{0});
     s.drain_close = facts.span("invariants.close_on_drain_within", Micros{0});
     s.cold_share = facts.number("invariants.cold_from", 1);
@@ -542,12 +542,12 @@
     const auto weight = [&](const char* part) {
         return facts.number(std::string("objective_mix.") + part, 0);
     };
-    s.goal = {weight("whole"),        weight("worst_window"), weight("worst_class"),
-              weight("worst_tenant"), weight("nines_part"),   weight("full_at_nines")};
+    s.objective = {weight("whole"),        weight("worst_window"), weight("worst_class"),
+                   weight("worst_tenant"), weight("nines_part"),   weight("full_at_nines")};
     const auto price = [&](const char* unit) { return facts.number(std::string("deductions.") + unit, 0); };
-    s.prices = {price("connection"), price("cross_zone"), price("registry_mode"), price("fleet"),
-                price("handshake"),  price("late_fail"),  price("moves"),         price("origin"),
-                price("peer"),       price("probe"),      price("waste")};
+    s.deductions = {price("connection"), price("cross_zone"), price("registry_mode"), price("fleet"),
+                    price("handshake"),  price("late_fail"),  price("moves"),         price("origin"),
+                    price("peer"),       price("probe"),      price("waste")};
     return s;
 }
 
--- a/src/wire.h
+++ b/src/wire.h
@@ -57,7 +57,7 @@
 
 struct Event {
     std::uint32_t instance = 0;
-    std::variant<CreateEvent, ListEvent, Request, AttemptEnd, ProbeResult, TimerEvent, AttemptStart,
+    std::variant<CreateEvent, ListEvent, Request, AttemptEnd, ProbeResult, TimerEvent, ResponseStart,
                  ClientGoneEvent, ExitEvent, PeerEvent>
         body;
 };
--- a/tests/cold_start_test.cpp
+++ b/tests/cold_start_test.cpp
@@ -282,9 +282,9 @@
     EXPECT_LT(sent_after_return({}, Outcome::connect_failed, {Outcome::ok}), 10u);
     EXPECT_LT(sent_after_return({}, Outcome::reset, {Outcome::connect_failed, Outcome::ok}), 10u);
     EXPECT_GT(sent_after_return({}, Outcome::reset, {Outcome::ok}), 20u);
-    EXPECT_GT(sent_after_return({}, Outcome::full, {Outcome::timeout, Outcome::ok}), 20u);
+    EXPECT_GT(sent_after_return({}, Outcome::rejected, {Outcome::timeout, Outcome::ok}), 20u);
     // An answer since takes the suspicion back.
-    EXPECT_GT(sent_after_return(Outcome::connect_failed, Outcome::full, {Outcome::ok}), 20u);
+    EXPECT_GT(sent_after_return(Outcome::connect_failed, Outcome::rejected, {Outcome::ok}), 20u);
 }
 
 }  // namespace
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -365,7 +365,7 @@
     const Time expires = clock.now() + std::chrono::seconds(15);
     upstreams.send({1, 0}, 1, std::move(request), expires, expires);
     s.until([&] { return sink.outcome && s.connections() == 1 && s.upstreams[0]->wires[0]->ended; });
-    EXPECT_EQ(sink.outcome, Outcome::moot);
+    EXPECT_EQ(sink.outcome, Outcome::not_sent);
     EXPECT_TRUE(s.nothing_sent());
 }
 
--- a/tests/decide_test.cpp
+++ b/tests/decide_test.cpp
@@ -30,8 +30,8 @@
 }
 
 TEST(OneAnswer, EveryOutcomeOfALastAttempt) {
-    for (const auto outcome : {Outcome::error, Outcome::full, Outcome::timeout, Outcome::connect_failed,
-                               Outcome::reset, Outcome::cancelled, Outcome::moot}) {
+    for (const auto outcome : {Outcome::error, Outcome::rejected, Outcome::timeout, Outcome::connect_failed,
+                               Outcome::reset, Outcome::cancelled, Outcome::not_sent}) {
         Settings s = plain_settings();
         s.max_attempts = 1;
         Rig rig(s);
@@ -71,7 +71,7 @@
     Rig rig;
     rig.fleet(3);
     const auto id = rig.request(safe, ms(60));
-    rig.end(id, 0, Outcome::full, ms(1));
+    rig.end(id, 0, Outcome::rejected, ms(1));
     rig.run(rig.now + ms(60));
     EXPECT_EQ(rig.sink.answers(id) + (rig.sink.sends(id) > 1 ? 1 : 0), 1u);
     const auto late = rig.request(safe, ms(0));
@@ -111,7 +111,7 @@
 }
 
 TEST(NoEffectTwice, UnsafeProvenNotRunIsSentAgain) {
-    for (const auto outcome : {Outcome::full, Outcome::connect_failed, Outcome::moot}) {
+    for (const auto outcome : {Outcome::rejected, Outcome::connect_failed, Outcome::not_sent}) {
         Rig rig;
         rig.fleet(3);
         const auto id = rig.request(unsafe);
@@ -164,7 +164,7 @@
 
 TEST(NoEffectTwice, KeyedIsNotSentAfterItsWindow) {
     Settings s = plain_settings();
-    for (auto& c : s.classes) c.window = ms(30);  // below the shortest gap
+    for (auto& c : s.classes) c.dedup_window = ms(30);  // below the shortest gap
     Rig rig(s);
     rig.fleet(3);
     const auto id = rig.request(keyed_zone);
@@ -232,7 +232,7 @@
     Rig rig;
     rig.fleet(4);
     rig.list(ListKind::delta,
-             {Rig::entry(1, 0, UpstreamState::draining), Rig::entry(2, 0, UpstreamState::gone)});
+             {Rig::entry(1, 0, UpstreamState::draining), Rig::entry(2, 0, UpstreamState::removed)});
     for (int i = 0; i < 40; ++i) rig.served();
     EXPECT_EQ(rig.sink.sends_to(1) + rig.sink.sends_to(2), 0u);
     rig.list(ListKind::full, {Rig::entry(4)});
@@ -407,7 +407,7 @@
     rig.fleet(1, 1);
     const auto a = rig.request(unsafe);
     const auto b = rig.request(unsafe);
-    rig.end(b, 0, Outcome::full, ms(1));  // holds one of ours, takes no second
+    rig.end(b, 0, Outcome::rejected, ms(1));  // holds one of ours, takes no second
     const auto c = rig.request(unsafe);
     EXPECT_EQ(rig.sink.submits.back().request, c);
     EXPECT_EQ(rig.sink.submits.back().upstream, 101u);
@@ -484,11 +484,11 @@
     rig.fleet(6);
     const auto id = rig.request(unsafe);
     rig.now += ms(1);
-    rig.end(id, 0, Outcome::full, ms(1));
+    rig.end(id, 0, Outcome::rejected, ms(1));
     ASSERT_EQ(rig.sink.sends(id), 2u);
-    rig.end(id, 1, Outcome::full, ms(1));
+    rig.end(id, 1, Outcome::rejected, ms(1));
     ASSERT_EQ(rig.sink.sends(id), 3u);
-    rig.end(id, 2, Outcome::full, ms(1));
+    rig.end(id, 2, Outcome::rejected, ms(1));
     EXPECT_EQ(rig.sink.sends(id), 3u);  // a gap now
     rig.run(rig.now + ms(200));
     EXPECT_EQ(rig.sink.sends(id), 4u);
@@ -626,7 +626,7 @@
         rig.now += ms(1);
         if (rig.sink.submits.back().upstream == 1) {
             ++refused_there;
-            rig.end(id, 0, Outcome::full, ms(1));
+            rig.end(id, 0, Outcome::rejected, ms(1));
         } else {
             rig.end(id, 0, Outcome::ok, ms(1));
         }
@@ -852,7 +852,7 @@
     const auto before = rig.sink.script.size();
     rig.end(99, 0, Outcome::ok);
     rig.policy->on_client_gone(rig.now, 99);
-    rig.policy->on_started(rig.now, {99, 0, 1, ms(5)});
+    rig.policy->on_response_start(rig.now, {99, 0, 1, ms(5)});
     rig.policy->on_message(rig.now, 7, "stray");
     rig.policy->on_timer(rig.now, 0);
     rig.policy->on_timer(rig.now, ~std::uint64_t{0});
@@ -891,9 +891,10 @@
     EXPECT_NE(refused([](Settings& s) { s.drain_close = Micros{-1}; }).find("drain_close"),
               std::string::npos);
     EXPECT_NE(refused([](Settings& s) { s.cold_share = 0; }).find("cold_share"), std::string::npos);
-    EXPECT_NE(refused([](Settings& s) { s.must_ask_list = true; }).find("ask_within"), std::string::npos);
-    EXPECT_NE(refused([](Settings& s) { s.classes[0].aim = ms(2000); }).find("deadline"), std::string::npos);
-    EXPECT_NE(refused([](Settings& s) { s.classes[keyed_zone].window = Micros{0}; }).find("window"),
+    EXPECT_NE(refused([](Settings& s) { s.must_request_list = true; }).find("ask_within"), std::string::npos);
+    EXPECT_NE(refused([](Settings& s) { s.classes[0].latency_target = ms(2000); }).find("deadline"),
+              std::string::npos);
+    EXPECT_NE(refused([](Settings& s) { s.classes[keyed_zone].dedup_window = Micros{0}; }).find("window"),
               std::string::npos);
 }
 
@@ -908,7 +909,7 @@
     const auto id = rig.request(safe);
     ASSERT_EQ(rig.sink.sends(id), 1u);
     EXPECT_EQ(rig.sink.submits[0].timeout, ms(1000));
-    rig.policy->on_started(rig.now, {id, 0, 1, ms(5)});
+    rig.policy->on_response_start(rig.now, {id, 0, 1, ms(5)});
     rig.end(id, 0, Outcome::ok, ms(20));
     const auto gone = rig.request(safe);
     rig.policy->on_client_gone(rig.now, gone);
@@ -922,7 +923,7 @@
         for (int i = 0; i < 300; ++i) {
             const auto id = rig.request(i % 5);
             rig.now += ms(i % 7);
-            constexpr Outcome outcomes[] = {Outcome::ok, Outcome::ok, Outcome::full, Outcome::error,
+            constexpr Outcome outcomes[] = {Outcome::ok, Outcome::ok, Outcome::rejected, Outcome::error,
                                             Outcome::timeout};
             if (rig.sink.sends(id) > 0) rig.end(id, 0, outcomes[i % 5], ms(i % 40));
             rig.run(rig.now + ms(3));
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -326,7 +326,7 @@
     net::Discovery client(s.loop, s.discovery.address(), {}, reports);
     client.watch();
     s.until([&] { return asked(s.discovery, 1); });
-    asio::steady_timer turn(s.loop, watch_silence + std::chrono::seconds(1));
+    asio::steady_timer turn(s.loop, watch_idle_timeout + std::chrono::seconds(1));
     turn.async_wait([&](auto) { s.discovery.wires[0]->say(watch_head + chunk("\n")); });
     s.until([&] { return !reports.failures.empty() || !reports.lists.empty(); });
     EXPECT_TRUE(reports.failures.empty());
@@ -529,7 +529,7 @@
         }
         if (half) wire->say(chunk(list_of(s, 12, false, json::array({s.upstream(0)})).substr(0, 40)));
         settle(s);
-        asio::steady_timer limit(s.loop, watch_silence + std::chrono::seconds(1));
+        asio::steady_timer limit(s.loop, watch_idle_timeout + std::chrono::seconds(1));
         bool late = false;
         limit.async_wait([&](auto) { late = true; });
         s.until([&] { return late || asked(s.discovery, 2); });
--- a/tests/discovery_wait_test.cpp
+++ b/tests/discovery_wait_test.cpp
@@ -162,7 +162,7 @@
 constexpr Report silent_at(milliseconds at) { return {at, ListFailure::silent}; }
 constexpr Report failed_at(milliseconds at) { return {at, ListFailure::failed}; }
 
-constexpr auto silence = std::chrono::duration_cast<milliseconds>(watch_silence);
+constexpr auto silence = std::chrono::duration_cast<milliseconds>(watch_idle_timeout);
 constexpr auto gap = std::chrono::duration_cast<milliseconds>(net::check_gap);
 constexpr milliseconds in_check = gap + milliseconds(500);  // the first one is under way
 constexpr int checks_for_9s = 6;
@@ -301,8 +301,8 @@
 }
 
 // What happens: a call that waits for its turn is given up as early as a watch that has fallen silent, and
-// joins the end of the queue. Why: both end the same way, by `watch_silence`. A call that is cut off from
-// discovery's machine hears nothing either, and must not stay out for longer than before.
+// joins the end of the queue. Why: both end the same way, by `watch_idle_timeout`. A call that is cut off
+// from discovery's machine hears nothing either, and must not stay out for longer than before.
 TEST(DiscoveryWait, ACallStaysOutWhileItsMachineCanBeReached) {
     asio::io_context loop{1};
     {
--- a/tests/embed/main.cpp
+++ b/tests/embed/main.cpp
@@ -22,7 +22,7 @@
     void watch() override {}
     void unwatch() override {}
     void fetch() override {}
-    void tell(std::optional<int>, std::string_view) override {}
+    void send_message(std::optional<int>, std::string_view) override {}
     void close_idle(flaxdoor::UpstreamId) override {}
     void log(std::string_view) override {}
 
@@ -35,10 +35,10 @@
     flaxdoor::Settings settings;
     settings.max_attempts = 2;
     flaxdoor::ClassSettings search;
-    search.aim = milliseconds(100);
+    search.latency_target = milliseconds(100);
     search.deadline = milliseconds(500);
     search.late_worth = 0.5;
-    search.effect = flaxdoor::Effect::safe;
+    search.effect = flaxdoor::Effect::idempotent;
     settings.classes.push_back(search);
 
     Host host;
--- a/tests/fleet_discovery_test.cpp
+++ b/tests/fleet_discovery_test.cpp
@@ -310,7 +310,7 @@
     discovery->silence_watches();
     const Time silent = clock.now();
     drain_some();
-    judge(silent + watch_silence);
+    judge(silent + watch_idle_timeout);
 }
 
 // Discovery that works off calls which nobody waits for any more, and of which one round of calls takes
--- a/tests/fleet_fixture.h
+++ b/tests/fleet_fixture.h
@@ -139,7 +139,7 @@
         drain_some();
         clock.run_for(seconds(1));
         drain_some();
-        judge(silent + watch_silence);  // hosts have noticed it by then
+        judge(silent + watch_idle_timeout);  // hosts have noticed it by then
     }
 
     // Runs on till every list should be there and every grace over, and judges the whole run.
--- a/tests/list_subscription_test.cpp
+++ b/tests/list_subscription_test.cpp
@@ -14,7 +14,7 @@
     Time last{};
     for (int rank = 0; rank < 3; ++rank) {
         Settings s = plain_settings();
-        s.must_ask_list = true;
+        s.must_request_list = true;
         s.ask_within = std::chrono::seconds(10);
         s.balancers = 3;
         s.rank = rank;
@@ -34,7 +34,7 @@
 // the host gives one up after 3 s, and what is left is for the next.
 TEST(TheList, UnansweredCallsAreRepeatedWithGrowingGapsInTime) {
     Settings s = plain_settings();
-    s.must_ask_list = true;
+    s.must_request_list = true;
     s.ask_within = std::chrono::seconds(10);
     Rig rig(s);
     rig.list(ListKind::cached, {Rig::entry(1)});
@@ -61,7 +61,7 @@
 // that one of them is there as the queue has room.
 TEST(TheList, RefusedCallsAreRepeatedSoonWithGrowingGaps) {
     Settings s = plain_settings();
-    s.must_ask_list = true;
+    s.must_request_list = true;
     s.ask_within = std::chrono::seconds(10);
     Rig rig(s);
     rig.list(ListKind::cached, {Rig::entry(1)});
@@ -84,7 +84,7 @@
 TEST(TheList, ACallThatIsOutForLongProvesNothingBeyondItsBeginning) {
     const Micros call_limit = ms(4250);  // of the host
     Settings s = plain_settings();
-    s.must_ask_list = true;
+    s.must_request_list = true;
     s.ask_within = std::chrono::seconds(2);
     s.drain_grace = ms(500);
     Rig rig(s);
@@ -107,7 +107,7 @@
 // there.
 TEST(TheList, AfterAWatchHasEndedNothingIsSentOnAListThatIsTooOld) {
     Settings s = plain_settings();
-    s.must_ask_list = true;
+    s.must_request_list = true;
     s.ask_within = std::chrono::seconds(10);
     s.drain_grace = ms(500);
     s.balancers = 300;
@@ -135,7 +135,7 @@
 // Discovery that can't be reached has told nothing: work goes on on the old list.
 TEST(TheList, WhileDiscoveryCanNotBeReachedTheOldListIsUsed) {
     Settings s = plain_settings();
-    s.must_ask_list = true;
+    s.must_request_list = true;
     s.ask_within = std::chrono::seconds(10);
     s.drain_grace = ms(500);
     Rig rig(s);
@@ -157,7 +157,7 @@
 // too long. They start together, and later one event ends all watches.
 TEST(TheList, TheCallsOfManyBalancersAreSpreadInTime) {
     Settings s = plain_settings();
-    s.must_ask_list = true;
+    s.must_request_list = true;
     s.ask_within = std::chrono::seconds(10);
     s.balancers = 100;
     std::vector<Time> starts, repeats;
@@ -192,7 +192,7 @@
 TEST(TheList, AWatchThatFellSilentIsAskedForAnewBeforeItsNewsCountAsTold) {
     for (const int balancers : {1, 300}) {
         Settings s = plain_settings();
-        s.must_ask_list = true;
+        s.must_request_list = true;
         s.ask_within = std::chrono::seconds(10);
         s.balancers = balancers;
         std::vector<Time> gaps;
@@ -224,7 +224,7 @@
 
 Settings asking_settings() {
     Settings s = plain_settings();
-    s.must_ask_list = true;
+    s.must_request_list = true;
     s.ask_within = std::chrono::seconds(10);
     s.drain_grace = ms(500);
     s.balancers = 30;
--- a/tests/modelled_discovery.cpp
+++ b/tests/modelled_discovery.cpp
@@ -219,7 +219,7 @@
         watcher.record.watch_lost(now, ToldRecord::Cause::fell_silent);
         const auto words = (now - watcher.spoke_at) / settings_.word_gap;
         const Time last_word = watcher.spoke_at + words * settings_.word_gap;
-        schedule(client, last_word + watch_silence, &ModelledDiscovery::report_silence);
+        schedule(client, last_word + watch_idle_timeout, &ModelledDiscovery::report_silence);
     }
 }
 
@@ -304,10 +304,10 @@
     settings.zone = rank % fleet.zones;
     ClassSettings plain;
     plain.name = "plain";
-    plain.aim = milliseconds(400);
+    plain.latency_target = milliseconds(400);
     plain.deadline = milliseconds(1000);
     plain.late_worth = 0.5;
-    plain.effect = Effect::safe;
+    plain.effect = Effect::idempotent;
     settings.classes = {plain};
     settings.max_attempts = 4;
     settings.may_cancel = true;
@@ -315,7 +315,7 @@
     settings.ramp_time = seconds(8);
     settings.fall_multiple = 3;
     settings.fall_span = seconds(2);
-    settings.must_ask_list = true;
+    settings.must_request_list = true;
     settings.ask_within = fleet.ask_within;
     settings.drain_grace = fleet.drain_grace;
     return settings;
@@ -355,10 +355,10 @@
     end.request = request;
     end.attempt = attempt;
     end.outcome = cancelled ? Outcome::cancelled : Outcome::ok;
-    end.closed = !cancelled;
+    end.request_done = !cancelled;
     end.latency = clock_.now() - sent_at;
     end.upstream = upstream;
-    if (end.closed) attempts_.erase(request);
+    if (end.request_done) attempts_.erase(request);
     policy_->on_attempt_end(clock_.now(), end);
 }
 
--- a/tests/modelled_discovery.h
+++ b/tests/modelled_discovery.h
@@ -152,7 +152,7 @@
     void go_down();
     void come_back();
     void drain(const std::vector<UpstreamId>& upstreams);
-    // All standing watches say nothing from now on; their hosts notice it `watch_silence` after the last
+    // All standing watches say nothing from now on; their hosts notice it `watch_idle_timeout` after the last
     // word.
     void silence_watches();
     // Moves to a new address: the clients hear of it one after another, evenly over `span`. Until then their
@@ -263,7 +263,7 @@
     void unwatch() override;
     void fetch() override;
     void close_idle(UpstreamId) override {}
-    void tell(std::optional<int>, std::string_view) override {}
+    void send_message(std::optional<int>, std::string_view) override {}
     void log(std::string_view) override {}
 
 private:
--- a/tests/modelled_discovery_test.cpp
+++ b/tests/modelled_discovery_test.cpp
@@ -183,7 +183,7 @@
     clock.run_for(seconds(10));
     ASSERT_EQ(client.heard.size(), 2u);
     EXPECT_EQ(client.heard[1].kind, ListKind::silent);
-    EXPECT_EQ(client.heard[1].at, client.heard[0].at + seconds(4) + watch_silence);
+    EXPECT_EQ(client.heard[1].at, client.heard[0].at + seconds(4) + watch_idle_timeout);
 }
 
 }  // namespace
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -223,7 +223,7 @@
     wire->say(said);
     if (cut) wire->close();
     s.until([&] { return sink.outcome.has_value(); });
-    return sink.outcome.value_or(Outcome::moot);
+    return sink.outcome.value_or(Outcome::not_sent);
 }
 
 // An upstream that answers what can't be read is alive: only a connection that breaks is a reset.
@@ -300,8 +300,8 @@
 
 TEST(Outcomes, LoadReportsThatDoNotParseAreDropped) {
     const std::vector<std::string> fields = {"active", "avg_ms"};
-    EXPECT_EQ(net::parse_report("avg_ms=2.5,active=3", fields), (Report{3, 2.5}));
-    EXPECT_EQ(net::parse_report("active=3, avg_ms=2.5, other=9", fields), (Report{3, 2.5}));
+    EXPECT_EQ(net::parse_report("avg_ms=2.5,active=3", fields), (LoadReport{3, 2.5}));
+    EXPECT_EQ(net::parse_report("active=3, avg_ms=2.5, other=9", fields), (LoadReport{3, 2.5}));
     for (const char* bad : {"", "active=3", "active", "active=3,avg_ms=", "active=3,avg_ms=nan",
                             "active=3,avg_ms=1e99", "active=3,avg_ms=2x", "active=3,,avg_ms=2"}) {
         EXPECT_TRUE(net::parse_report(bad, fields).empty()) << bad;
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -41,10 +41,10 @@
         const ClassSettings& c = s.classes[static_cast<std::size_t>(a.request.class_index)];
         for (const Sent& e : a.attempts) {
             EXPECT_FALSE(e.out) << "two attempts at once";
-            if (!e.may_have_run || c.effect == Effect::safe) continue;
-            EXPECT_EQ(c.effect, Effect::keyed) << "an unsafe effect twice";
-            EXPECT_LT(now, e.at + c.window);
-            EXPECT_LT(send_by, e.at + c.window);
+            if (!e.may_have_run || c.effect == Effect::idempotent) continue;
+            EXPECT_EQ(c.effect, Effect::deduplicated) << "an unsafe effect twice";
+            EXPECT_LT(now, e.at + c.dedup_window);
+            EXPECT_LT(send_by, e.at + c.dedup_window);
             if (c.group == Group::zone) {
                 EXPECT_EQ(e.to.zone, to.zone);
             }
@@ -60,7 +60,7 @@
         const Asked& a = asked.at(id);
         const ClassSettings& c = s.classes[static_cast<std::size_t>(a.request.class_index)];
         const bool harmless =
-            c.effect == Effect::safe || (c.effect == Effect::keyed && c.group == Group::all);
+            c.effect == Effect::idempotent || (c.effect == Effect::deduplicated && c.group == Group::all);
         for (const Sent& e : a.attempts) EXPECT_TRUE(harmless || !e.may_have_run) << "refused, may have run";
         end(id, "refuse");
     }
@@ -78,8 +78,8 @@
     void unwatch() override { note("unwatch", 0); }
     void fetch() override { note("fetch", 0); }
     void close_idle(UpstreamId upstream) override { idle[upstream] = 0; }
-    void tell(std::optional<int>, std::string_view payload) override {
-        EXPECT_TRUE(s.may_tell_peers);
+    void send_message(std::optional<int>, std::string_view payload) override {
+        EXPECT_TRUE(s.may_message_peers);
         EXPECT_LE(payload.size(), 256u);
     }
     void log(std::string_view) override {}
@@ -125,11 +125,11 @@
                 end.latency = now - e.at;
                 end.upstream = e.to.id;
                 e.out = false;
-                end.doubtful = end.outcome == Outcome::full && below(3) == 0;
-                e.may_have_run =
-                    end.doubtful || (end.outcome != Outcome::full && end.outcome != Outcome::connect_failed);
+                end.possible_duplicate = end.outcome == Outcome::rejected && below(3) == 0;
+                e.may_have_run = end.possible_duplicate ||
+                                 (end.outcome != Outcome::rejected && end.outcome != Outcome::connect_failed);
                 if (end.outcome == Outcome::ok) a.over = true;
-                end.closed = a.over;
+                end.request_done = a.over;
                 touched[e.to.id] = now;
                 if (end.outcome != Outcome::connect_failed && end.outcome != Outcome::reset) ++idle[e.to.id];
                 policy.on_attempt_end(now, end);
@@ -193,7 +193,7 @@
     s.may_cancel = bit(1);
     s.may_probe = bit(2);
     s.drain_close = bit(3) ? ms(50) : ms(0);
-    s.must_ask_list = bit(5);
+    s.must_request_list = bit(5);
     s.ask_within = ms(500);
     s.max_attempts = bit(6) ? 4 : 1;
     s.balancers = bit(7) ? 40 : 1;
--- a/tests/refusal_test.cpp
+++ b/tests/refusal_test.cpp
@@ -29,8 +29,8 @@
 TEST(Refusal, NothingIsLeftToAClassOfWhichNoRequestHasCome) {
     for (const auto long_latency : {milliseconds(600), milliseconds(900)}) {
         Settings s = plain_settings();
-        for (auto& c : s.classes) c.aim = milliseconds(150);
-        s.classes[safe].aim = milliseconds(1500);
+        for (auto& c : s.classes) c.latency_target = milliseconds(150);
+        s.classes[safe].latency_target = milliseconds(1500);
         s.classes[safe].deadline = milliseconds(5000);
         Rig rig(s);
         rig.fleet(1);
@@ -50,8 +50,8 @@
     constexpr int rounds = 100;
     constexpr int short_class = unsafe, long_class = safe;
     Settings s = plain_settings();
-    for (auto& c : s.classes) c.aim = milliseconds(150);
-    s.classes[long_class].aim = milliseconds(1500);
+    for (auto& c : s.classes) c.latency_target = milliseconds(150);
+    s.classes[long_class].latency_target = milliseconds(1500);
     s.classes[long_class].deadline = milliseconds(5000);
     Rig rig(s);
     rig.fleet(4);
--- a/tests/rig.h
+++ b/tests/rig.h
@@ -60,7 +60,7 @@
         closed.push_back(upstream);
         note("close", upstream);
     }
-    void tell(std::optional<int> peer, std::string_view payload) override {
+    void send_message(std::optional<int> peer, std::string_view payload) override {
         told.emplace_back(peer, payload);
         note("tell", payload.size());
     }
@@ -103,19 +103,19 @@
     const auto add = [&](const char* name, Effect effect, Group group) {
         ClassSettings c;
         c.name = name;
-        c.aim = milliseconds(100);
+        c.latency_target = milliseconds(100);
         c.deadline = milliseconds(1000);
         c.late_worth = 0.5;
         c.effect = effect;
         c.group = group;
-        c.window = milliseconds(400);
+        c.dedup_window = milliseconds(400);
         s.classes.push_back(c);
     };
-    add("safe", Effect::safe, Group::all);
-    add("keyed in the zone", Effect::keyed, Group::zone);
-    add("unsafe", Effect::unsafe, Group::all);
-    add("keyed everywhere", Effect::keyed, Group::all);
-    add("keyed in the cell", Effect::keyed, Group::cell);
+    add("safe", Effect::idempotent, Group::all);
+    add("keyed in the zone", Effect::deduplicated, Group::zone);
+    add("unsafe", Effect::at_most_once, Group::all);
+    add("keyed everywhere", Effect::deduplicated, Group::all);
+    add("keyed in the cell", Effect::deduplicated, Group::cell);
     s.max_attempts = 4;
     s.may_cancel = true;
     s.cold_share = 0.25;
@@ -162,12 +162,12 @@
         return r.id;
     }
     void end(RequestId id, int attempt, Outcome outcome, Micros latency = milliseconds(10),
-             Report report = {}) {
+             LoadReport report = {}) {
         AttemptEnd e;
         e.request = id;
         e.attempt = attempt;
         e.outcome = outcome;
-        e.closed = outcome == Outcome::ok;
+        e.request_done = outcome == Outcome::ok;
         e.latency = latency;
         e.report = std::move(report);
         policy->on_attempt_end(now, e);
--- a/tests/standing_terms_test.cpp
+++ b/tests/standing_terms_test.cpp
@@ -544,7 +544,7 @@
 // However long time-outs, refusals and failures of all upstreams last, requests go on being tried.
 TEST(NeverAllAway, AttemptsGoOnThroughTimeOutsAndRefusals) {
     for_all_balancers([](const Settings& settings, Load load, const std::string& what) {
-        for (const Outcome outcome : {Outcome::timeout, Outcome::full, Outcome::error, Outcome::reset}) {
+        for (const Outcome outcome : {Outcome::timeout, Outcome::rejected, Outcome::error, Outcome::reset}) {
             for (const int seconds : {1, 5, 20}) {
                 const auto p = pauses(settings, load, {outcome, std::chrono::seconds(seconds)});
                 EXPECT_LT(p.longest, all_away_limit)
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -133,7 +133,7 @@
     const auto& peer = std::get<PeerEvent>(events.at(0).body);
     EXPECT_EQ(peer.from, 2);
     EXPECT_EQ(peer.payload, "hi!");
-    const auto& started = std::get<AttemptStart>(events.at(1).body);
+    const auto& started = std::get<ResponseStart>(events.at(1).body);
     EXPECT_EQ(started.request, 77u);
     EXPECT_EQ(started.attempt, 1);
     EXPECT_EQ(started.upstream, 0x10700000aULL);
@@ -153,10 +153,10 @@
     const auto& end = std::get<AttemptEnd>(events.at(0).body);
     EXPECT_EQ(end.request, 5u);
     EXPECT_EQ(end.attempt, 2);
-    EXPECT_EQ(end.outcome, Outcome::full);
-    EXPECT_TRUE(end.closed);
+    EXPECT_EQ(end.outcome, Outcome::rejected);
+    EXPECT_TRUE(end.request_done);
     EXPECT_EQ(end.latency, Micros(1250));
-    EXPECT_EQ(end.report, (Report{7.0F, 0.5F}));
+    EXPECT_EQ(end.report, (LoadReport{7.0F, 0.5F}));
 }
 
 TEST(Frames, Lists) {
@@ -313,14 +313,14 @@
     EXPECT_EQ(s.zones, 2);
     EXPECT_EQ(s.tick, Micros(2000));
     ASSERT_EQ(s.classes.size(), 2u);
-    EXPECT_EQ(s.classes[1].effect, Effect::keyed);
+    EXPECT_EQ(s.classes[1].effect, Effect::deduplicated);
     EXPECT_EQ(s.classes[1].group, Group::cell);
-    EXPECT_EQ(s.classes[1].window, Micros(5000000));
-    EXPECT_TRUE(s.must_ask_list);
+    EXPECT_EQ(s.classes[1].dedup_window, Micros(5000000));
+    EXPECT_TRUE(s.must_request_list);
     EXPECT_TRUE(s.may_probe);
     EXPECT_FALSE(s.may_cancel);
     EXPECT_EQ(s.report_fields,
-              (std::vector{ReportField::in_flight, ReportField::other, ReportField::service_ms}));
+              (std::vector{ReportField::in_flight, ReportField::other, ReportField::service_time_ms}));
     ASSERT_EQ(s.tenants.size(), 1u);
     EXPECT_DOUBLE_EQ(s.tenants[0].quota_per_s, 12.5);
 }
@@ -344,35 +344,36 @@
         "services.0.stream=true\nservices.0.worth=4\nservices.0.late_worth=0.25\nsiblings=8\n"
         "specifics.passes_deadline=true\nspecifics.warm_keys=true\ntenants.0.fraction=0.75\ntier=1\n"
         "weights=live\nworth_by=work\nzone=1\n");
-    EXPECT_TRUE(s.marks_retry && s.may_cancel && s.may_tell_peers && s.retry_after);
-    EXPECT_TRUE(s.passes_deadline && s.worth_by_work && s.classes[0].streams);
-    const Prices& p = s.prices;
-    EXPECT_EQ((std::vector{p.connection, p.cross_zone, p.discovery, p.fleet, p.handshake, p.late_fail,
+    EXPECT_TRUE(s.clients_mark_retries && s.may_cancel && s.may_message_peers && s.may_advise_retry_after);
+    EXPECT_TRUE(s.upstreams_propagate_deadline && s.worth_by_work && s.classes[0].streams);
+    const Deductions& p = s.deductions;
+    EXPECT_EQ((std::vector{p.connection, p.cross_zone, p.discovery, p.fleet, p.handshake, p.late_failure,
                            p.moves, p.origin, p.peer, p.probe, p.waste}),
               (std::vector<double>{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}));
-    const Goal& g = s.goal;
-    EXPECT_EQ((std::vector{g.whole, g.worst_window, g.worst_class, g.worst_tenant, g.nines, g.full_at_nines}),
-              (std::vector<double>{0.1, 0.2, 0.3, 0.4, 0.5, 3}));
-    EXPECT_EQ((std::vector{s.answer_slack, s.drain_close, s.drain_grace, s.fall_span, s.ramp_time,
-                           s.connect_timeout, s.idle_close, s.max_retry_after, s.cpu_per_s}),
+    const ObjectiveWeights& g = s.objective;
+    EXPECT_EQ(
+        (std::vector{g.overall, g.worst_window, g.worst_class, g.worst_tenant, g.nines, g.full_score_nines}),
+        (std::vector<double>{0.1, 0.2, 0.3, 0.4, 0.5, 3}));
+    EXPECT_EQ((std::vector{s.response_slack, s.drain_close, s.drain_grace, s.fall_span, s.ramp_time,
+                           s.connect_timeout, s.connection_idle_timeout, s.max_retry_after, s.cpu_per_s}),
               (std::vector{Micros(20000), Micros(800000), Micros(1000000), Micros(1500000), Micros(8100000),
                            Micros(250000), Micros(5000000), Micros(1200000), Micros(15000)}));
     EXPECT_EQ((std::vector{s.cold_share, s.fall_multiple, s.cpu_us_per_request, s.over_share_worth,
-                           s.classes[0].aim_stretch, s.classes[0].worth, s.classes[0].late_worth,
+                           s.classes[0].latency_target_per_work, s.classes[0].worth, s.classes[0].late_worth,
                            s.tenants[0].fraction}),
               (std::vector<double>{0.35, 3, 12.5, 0.1, 1.5, 4, 0.25, 0.75}));
-    EXPECT_EQ((std::vector{s.max_open, s.streams_per_connection, s.balancers, s.zone, s.tier}),
+    EXPECT_EQ((std::vector{s.max_open_requests, s.streams_per_connection, s.balancers, s.zone, s.tier}),
               (std::vector{1234, 7, 8, 1, 1}));
-    EXPECT_EQ(s.reports, ReportSource::answers);
-    EXPECT_EQ(s.weights, Weights::live);
+    EXPECT_EQ(s.report_source, ReportSource::responses);
+    EXPECT_EQ(s.weight_meaning, WeightMeaning::live);
 }
 
 TEST(Facts, AbsentSettingsAreSafe) {
     const Settings s = parse_facts(facts());
-    EXPECT_FALSE(s.may_cancel || s.may_tell_peers || s.retry_after);
+    EXPECT_FALSE(s.may_cancel || s.may_message_peers || s.may_advise_retry_after);
     EXPECT_EQ(s.drain_close, Micros{0});
     EXPECT_EQ(s.cold_share, 1);
-    EXPECT_EQ(s.weights, Weights::none);
+    EXPECT_EQ(s.weight_meaning, WeightMeaning::none);
     EXPECT_FALSE(s.worth_by_work);
 }
 
