--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -1,13 +1,23 @@
 // The decisions of flaxdoor. Types, events and actions: include/flaxdoor/decide.h.
 //
 // The ordinary path of a request:
-//   on_request      -> send_original: two random ready upstreams of the zone, fewer of ours in flight wins;
-//                      spill when under half of the zone is ready or every candidate's delay exceeds T1
-//   on_attempt_end  -> a failure waits out its gap (T1, doubling), then send_retry: a fresh pair without the
-//                      failed upstream, better first, then the others of the zone; each passes with chance p
-//   p               -> falls from 1 to 0 as the upstream's smoothed delay rises from 0.2 T1 to T1
-// The rules that may never be broken stand in one function each:
-//   may_send (rules 1 and 2), may_get_new_work (rules 3 and 4), may_refuse (rule 2), close_idle (rule 5).
+//   on_request      -> send_original takes two random ready upstreams of the balancer's own zone and sends to
+//                      the one with fewer of its attempts in flight. Other zones are used if fewer than half
+//                      of the upstreams of the own zone are ready, or if the delay of all candidates exceeds
+//                      the retry time-out (T1).
+//   on_attempt_end  -> after a failure and a back-off (T1, doubled with each round), send_retry takes a new
+//                      pair without the upstream that failed, the better of the two first, and then the other
+//                      candidates. Each admits the retry with a probability (p) that falls from 1 to 0 as the
+//                      smoothed delay (q_avg) of the upstream rises from 0.2 T1 to T1.
+// The letters in brackets are those of the paper that describes this admission of retries.
+//
+// Each rule that must never be broken is enforced in one function:
+//   rules 1 and 2  may_send          limits on attempts and time; no effect twice
+//   rule 2         may_refuse        a refusal promises that a retry is harmless
+//   rules 3 and 4  may_get_new_work  no new work to an upstream that drains or has left, nor beyond what a
+//   cold
+//                                    one can take
+//   rule 5         close_idle        idle connections to a draining upstream are closed
 #include "flaxdoor/decide.h"
 
 #include <algorithm>
@@ -29,112 +39,146 @@
 namespace {
 
 // ------------------------------------------------------------------------------------------- constants
-constexpr double delay_weight = 0.1;  // w_q: least weight of a new delay sample, the paper's value
-constexpr double gate_low = 0.2;      // q_min as a share of T1: below it every retry passes
-constexpr double gate_high = 1.0;     // q_max as a share of T1: above it none does
-constexpr double t1_deviations = 4;   // T1 = usual latency + so many mean deviations, as TCP's timer does,
-constexpr double t1_least = 0.25;     //   but at least this share of the aim
-constexpr double t1_most = 0.8;       //   and at most this one
-constexpr double latency_weight = 1.0 / 64;  // weight of one answer in the usual latency of a class
-constexpr int max_strikes = 4;               // failures in a row that put an upstream out
-constexpr int hard_strikes = 2;              // a failed connection counts so many
-constexpr double lost_weight = 0.2;          // of an outcome in the share of a class that an upstream loses
-constexpr double lost_share = 0.5;           // that puts it out for the class alone
-constexpr double lost_more = 2;              //   if it is so many times what the class loses on the whole
-constexpr double penalty_growth = 2;         // each further time out is so much longer
-constexpr double share_of_ramp_out = 0.5;    // longest time out, as a share of the ramp time
-// What may be in flight at one upstream: attempts, learned.
-constexpr double first_limit = 2;          // before anything is known of it
-constexpr double limit_growth = 1.0 / 32;  // step up by a timely answer at the limit, down by a crowd's
-// What all of our attempts may be, cut only in a jam.
-constexpr double most_crowding = 2;           // base latencies from which it is cut
-constexpr double crowding_weight = 1.0 / 32;  // least of an answer in that
-constexpr double crowding_cap = 4;            // the most that one counts for
-constexpr double full_crowding = 6;           // what a full refusal or a time-out counts for
-constexpr double room_cut = 0.7;              // what a cut leaves
-constexpr double room_growth = 0.25;          // step up, shared as below
-constexpr double fair_share = 2;              // attempts an upstream, over all balancers, at the start
-constexpr double least_room = 0.5;      // least that a cut leaves of them: slowed upstreams recover when idle
-constexpr double crowd = 3;             // an answer that took so many base latencies comes from a crowd
-constexpr double base_answers = 8;      // of a class, after which its base latency is known
-constexpr double base_guess = 1.0 / 3;  // of the aim: base latency of a class before it is known
-constexpr double base_creep = 3e-4;     // rise of the base latency by an answer
-// Who is sent at all: shares of the aim or of the time between a lone latency and the aim.
-constexpr double aim_margin = 0.5;   // of that time, what waiting may use
-constexpr double most_lone = 0.75;   // of the aim, what a lone latency may take
-constexpr double least_slope = 0.5;  // flattest line of latency over our own load, as a share of proportion
-constexpr double least_patience = 0.5;  // of a denser class's aim, for others at least
-constexpr std::size_t at_once = 2;      // first attempts retried without a gap if they never ran
-// A balancer's share of a zone.
-constexpr double hearings = 8;                 // answers that it should get from each before it forgets
-constexpr double coverage = 2;                 // shares that an upstream should be in at least
-constexpr double golden = 0.6180339887498949;  // turns of the ring from one rank's place to the next: even
-constexpr double zone_weight = 1.0 / 16;       // of an answer in the delay of the zone
-constexpr double zone_idle = 0.1;              // below this share of the aim the zone keeps all of its work
-constexpr double zone_crowded = 0.3;           // above it spills all that it is too small for
-constexpr std::size_t least_share = 4;         // upstreams, so that a pair has a choice when some are out
-constexpr double link_weight = 0.1;            // of an outcome in the share of new connections that fail
-constexpr double dear_share = 0.1;             // of new connections that fail: keep to open ones
-// Time constants, in longest T1s or as shares of told times.
-constexpr double decay_t1s = 4;      // without news, delay and what goes with it decay over so many
-constexpr double silence_t1s = 2;    // an upstream that answers nothing for so many is silent
-constexpr double early_share = 0.5;  // of the aim: an original may wait a gap that ends before it
-constexpr double beat_t1s = 0.25;    // gap between beats, by which a stall of our own is seen
-constexpr double left_creep = 1e-3;  // fall, by a request, of the longest time that clients leave us
-constexpr Micros share_span = std::chrono::seconds(4);  // of its share, what a tenant may save up
-constexpr Micros log_gap = std::chrono::seconds(1);
-constexpr Micros untried_most = std::chrono::seconds(2);  // without an attempt while all upstreams are out
+
+// Admission of retries. Delays are shares of the retry time-out of the request's class (T1).
+constexpr double delay_weight = 0.1;  // least weight of a new sample of an upstream (w_q, the paper's value)
+constexpr double gate_low = 0.2;      // delay up to which every retry is admitted (q_min)
+constexpr double gate_high = 1.0;     // delay from which no retry is admitted (q_max)
+// The retry time-out is the mean latency plus a multiple of its mean deviation, as TCP's retransmission timer
+// is, within these shares of the latency target.
+constexpr double t1_deviations = 4;
+constexpr double t1_least = 0.25;
+constexpr double t1_most = 0.8;
+constexpr double latency_weight = 1.0 / 64;  // least weight of a response in the mean latency of its class
+
+// Outlier ejection.
+constexpr int max_strikes = 4;   // consecutive failures that eject an upstream
+constexpr int hard_strikes = 2;  // what a failed connection counts as
+// Ejection for a single class, by the share of its attempts that end in an error or a time-out.
+constexpr double lost_weight = 0.2;   // weight of a new outcome in that share
+constexpr double lost_share = 0.5;    // share above which the upstream is ejected for the class,
+constexpr double lost_more = 2;       // if also above this multiple of the class's share at all upstreams
+constexpr double penalty_growth = 2;  // factor from one ejection time to the next
+constexpr double share_of_ramp_out = 0.5;  // longest ejection time, as a share of the ramp time
+
+// In-flight limit of an upstream, in attempts of this balancer. It is learned.
+constexpr double first_limit = 2;  // before anything is known of the upstream
+// Increase by a timely response at the limit (1 until the first decrease), and decrease by a response that
+// shows overload.
+constexpr double limit_growth = 1.0 / 32;
+
+// Concurrency limit of this balancer over all upstreams, decreased only under congestion. Congestion is the
+// smoothed latency as a multiple of the base latency, which is the latency without overload.
+constexpr double most_crowding = 2;           // congestion above which the limit is decreased
+constexpr double crowding_weight = 1.0 / 32;  // least weight of a new sample of congestion; weight of an
+                                              // outcome in a class's share of failures
+constexpr double crowding_cap = 4;            // highest sample that a response counts as
+constexpr double full_crowding = 6;           // sample that a rejection or a time-out counts as
+constexpr double room_cut = 0.7;              // factor of a decrease
+// The next three are numbers of attempts per upstream, divided among all balancers.
+constexpr double room_growth = 0.25;  // increase over as many timely responses as the limit
+constexpr double fair_share = 2;      // initial limit
+constexpr double least_room = 0.5;    // lowest limit after a decrease: slow upstreams recover when idle
+// Multiple of the base latency above which a response shows an overloaded upstream.
+constexpr double crowd = 3;
+constexpr double base_answers = 8;      // responses of a class after which its base latency is known
+constexpr double base_guess = 1.0 / 3;  // base latency until then, as a share of the latency target
+constexpr double base_creep = 3e-4;     // relative increase of the base latency by each response
+
+// Prediction of latency, by which a request is sent or not. A single attempt is the only one that this
+// balancer has in flight at the upstream.
+// Share of the time between the latency of a single attempt and the latency target that queueing may use.
+constexpr double aim_margin = 0.5;
+constexpr double most_lone = 0.75;  // share of the latency target that a single attempt's latency may use
+// Least growth of latency with the balancer's own load, as a share of growth in proportion to it.
+constexpr double least_slope = 0.5;
+// Least share of a limit, or of a more valuable class's latency target, that is left to the class with the
+// lower worth per work.
+constexpr double least_patience = 0.5;
+// While a request has had up to this many attempts, one that has not run is retried without a back-off.
+constexpr std::size_t at_once = 2;
+
+// Subset of a ring of upstreams that a balancer uses.
+constexpr double hearings = 8;  // responses that it should get from each upstream within the decay time
+constexpr double coverage = 2;  // least mean number of subsets that an upstream is in
+// Distance on the ring from the subset of one rank to that of the next, as a share of the ring. The golden
+// ratio spreads the subsets evenly.
+constexpr double golden = 0.6180339887498949;
+// Spillover to other zones, by the smoothed delay of the own zone as a share of the latency target.
+constexpr double zone_weight = 1.0 / 16;  // weight of a new response in that delay
+constexpr double zone_idle = 0.1;         // delay up to which the zone spills nothing
+constexpr double zone_crowded = 0.3;  // delay from which it spills all that it has too little capacity for
+// Least number of upstreams in a subset, so that a pair can be drawn while some are ejected.
+constexpr std::size_t least_share = 4;
+
+constexpr double link_weight = 0.1;  // weight of an outcome in the failure rate of new connections
+constexpr double dear_share = 0.1;   // failure rate of new connections above which only open ones are used
+
+// Time constants. Those that end in `t1s` are multiples of the longest retry time-out of all classes.
+constexpr double decay_t1s = 4;    // time constant by which delay and other averages decay without samples
+constexpr double silence_t1s = 2;  // time without a response after which a busy upstream counts as silent
+// Share of the latency target within which the back-off of a request without an attempt must end.
+constexpr double early_share = 0.5;
+constexpr double beat_t1s = 0.25;    // interval of the heartbeat, which detects stalls of the balancer itself
+constexpr double left_creep = 1e-3;  // relative decrease, by each request, of the longest time left
+constexpr Micros share_span = std::chrono::seconds(4);  // time for which a tenant may save up unused share
+constexpr Micros log_gap = std::chrono::seconds(1);     // least time between two lines
+// Longest time without an attempt while all upstreams are ejected.
+constexpr Micros untried_most = std::chrono::seconds(2);
 
 using namespace util;
 
-// What an upstream does for one class.
+// Health of an upstream for one class of requests.
 struct Service {
-    double lost = 0;  // smoothed share that got an error or no answer
-    Time out_until{};
+    double lost = 0;   // smoothed share of attempts that ended in an error or a time-out
+    Time out_until{};  // the class is not sent there until then
 };
 
+// "Own" is what belongs to this balancer, as against all balancers.
 struct Upstream {
     UpstreamEntry entry;
     std::vector<Service> services;             // by class
-    std::uint64_t turn = 0;                    // its place in the order of shares
-    std::vector<std::size_t>* ring = nullptr;  // of its zone, or of the other ones, while it is listed
-    int in_flight = 0;                         // attempts of ours
-    bool linked = false;   // connections of ours may be open there: any doubt counts, for rule 5
+    std::uint64_t turn = 0;                    // position on the ring
+    std::vector<std::size_t>* ring = nullptr;  // of the own zone or of the others; null while not on the list
+    int in_flight = 0;                         // own attempts
+    bool linked = false;   // own connections may be open there; stays true in doubt, for rule 5
     bool refused = false;  // the last attempt that ended there got no connection
-    Time idle_since{};     // when the last outcome came from there
+    Time idle_since{};     // when the last attempt there ended
 
-    double delay_us = 0;  // q_avg
+    double delay_us = 0;  // smoothed delay (q_avg), as of delay_at
     Time delay_at{};
-    double per_held_us = 0;  // learned: time that each request it reports as held adds, 1 / rate
-    double slowdown = 0;  // smoothed latency here in base latencies of each class, so that classes compare,
-    double ours = 0;      //   and the number of ours there at those sends
-    double lone_slowdown = 0;    // the same of those that were alone of ours
-    double limit = first_limit;  // of ours in flight: grows with answers, falls with full refusals and crowds
-    bool limited = false;        // it has fallen once
-    FadingAverage full;          // of attempts, those turned away as full
-
-    int strikes = 0;
-    bool out = false;    // taken out of ordinary traffic
-    bool died = false;   //   because none could be made: it comes back cold
-    bool trial = false;  // a probe or a trial request is under way
-    Time out_until{};
-    Micros penalty{};
-    Time answered_at{};
-    Time busy_since{};  // when in_flight last rose from zero
+    double per_held_us = 0;    // smoothed delay that each request adds that the upstream reports as in flight
+    double slowdown = 0;       // smoothed latency as a multiple of the class's base latency, so that classes
+                               // compare
+    double ours = 0;           // smoothed number of own attempts in flight when those were sent
+    double lone_slowdown = 0;  // the slowdown of attempts sent while no other own attempt was in flight there
+    double limit = first_limit;  // in-flight limit of own attempts
+    bool limited = false;        // the limit has been decreased at least once
+    FadingAverage full;          // share of attempts that were rejected
+
+    int strikes = 0;     // consecutive failures
+    bool out = false;    // ejected: gets trial requests or probes only
+    bool died = false;   // no connection could be established since the last success: readmitted as cold
+    bool trial = false;  // a probe is in flight
+    Time out_until{};    // time of the next trial while ejected
+    Micros penalty{};    // length of the next ejection
+    Time answered_at{};  // when the last response came
+    Time busy_since{};   // when in_flight last rose from zero
 
     std::optional<Time> cold_since;
-    TokenBucket cold_budget;  // requests that may go there now
-    FadingSum answer_rate;    // our answers a second
+    TokenBucket cold_budget;  // requests that may be sent now while the upstream is cold
+    FadingSum answer_rate;    // own responses a second
 };
 
 struct Attempt {
-    std::size_t upstream = 0;
+    std::size_t upstream = 0;  // index
     Time sent_at{};
-    int ours = 1;        // attempts of ours at the upstream then, this one included
-    int group = 0;       // of the upstream then: those that know the request drop its repeats, wherever it is
-    bool first = false;  // no connection was open there
+    int ours = 1;   // own attempts in flight at the upstream at the send, including this one
+    int group = 0;  // group of the upstream at the send: its members drop repeats, even after the upstream
+                    // has moved to another group
+    bool first = false;  // no connection to the upstream was open
     bool in_flight = true;
-    bool may_have_run = true;  // until its outcome proves otherwise
+    bool may_have_run = true;  // unless its outcome shows that it has not
 };
 
 struct Open {
@@ -142,25 +186,25 @@
     Time arrived_at{};
     std::vector<Attempt> attempts;
     int in_flight = 0;
-    int round = 0;           // gaps used: the next one is T1 * 2^round
-    std::uint32_t wake = 0;  // serial of the only timer that counts
-    bool done = false;       // final answer given or client gone
-    double worth = 1;        // as a share of its class's: less beyond its tenant's share
+    int round = 0;           // number of back-offs so far: the next one takes T1 * 2^round
+    std::uint32_t wake = 0;  // serial number of the current timer; older timers are ignored
+    bool done = false;       // the final response has been given or the client is gone
+    double worth = 1;        // as a share of the class's worth: less for a request beyond its tenant's share
 };
 
-// What a warm upstream answers for us.
+// Rate at which a warm upstream responds to this balancer.
 struct WarmRate {
     double per_s = 0;
-    Time at{};  // when it was counted
+    Time at{};  // when it was computed
 };
 
 struct ClassState {
-    double left_us = 0;      // the longest time left that requests come with
-    double lost = 0;         // smoothed share of its attempts that got an error or no answer
-    RunningDeviation usual;  // latency of answers and time-outs
-    RunningAverage latency;  // of answers alone
-    double t1_us = 0;
-    double base_us = 0;  // latency without a crowd: the least that the usual one has been, creeping upwards
+    double left_us = 0;      // longest time until the deadline with which requests arrive
+    double lost = 0;         // smoothed share of attempts that ended in an error or a time-out
+    RunningDeviation usual;  // latency, time-outs included
+    RunningAverage latency;  // latency of responses only
+    double t1_us = 0;        // retry time-out (T1)
+    double base_us = 0;      // base latency: the least value of the mean latency, which slowly grows
 };
 
 constexpr std::size_t none = util::SlotTable<Open>::none;
@@ -184,7 +228,7 @@
         if (s_.must_request_list) set_call_timer();
     }
 
-    // ------------------------------------------------------------------------------------ 1. registry
+    // --------------------------------------------------------------------------- 1. list of upstreams
 
     void on_list(Time now, ListKind kind, const std::vector<UpstreamEntry>& entries) {
         if (kind >= ListKind::failed) {
@@ -195,17 +239,18 @@
         }
         if (kind != ListKind::cached) subscription_.on_answer(now);
         if (kind != ListKind::delta) {
-            for (auto& u : upstreams_) u.entry.state = UpstreamState::removed;  // unless the list names it
+            for (auto& u : upstreams_) u.entry.state = UpstreamState::removed;  // unless it is listed below
         }
         for (const auto& entry : entries) learn(now, entry, kind);
         if (kind == ListKind::delta) return;
-        for (std::size_t i = 0; i < upstreams_.size(); ++i) {  // those that have left
+        for (std::size_t i = 0; i < upstreams_.size(); ++i) {  // for those no longer listed
             put_on_ring(i);
             close_idle(upstreams_[i]);
         }
     }
 
-    // Rule 5: called on every notice and every outcome, closes idle connections to a draining upstream.
+    // Rule 5: closes idle connections to an upstream that drains or has left the list. Called for every list
+    // entry and every outcome.
     void close_idle(Upstream& u) {
         if (s_.drain_close <= Micros{0} || u.entry.state == UpstreamState::ready || !u.linked) return;
         actions_.close_idle(u.entry.id);
@@ -226,7 +271,7 @@
         close_idle(u);
         if (entry.started_at > Time{} && (added || restarted)) begin_cold(u, entry.started_at, now);
         if (restarted && kind != ListKind::cached) {
-            readmit(u);  // a new process: what the old one did says nothing of it
+            readmit(u);  // a new process: the health of the old one says nothing about it
             u.services.assign(classes_.size(), {});
             u.delay_us = 0;
         }
@@ -242,9 +287,9 @@
         actions_.set_timer(subscription_.next_call(), TimerToken{call_timer, 0, ++call_serial_}.pack());
     }
 
-    // --------------------------------------------------------------------- 2. delay estimate and gate
+    // ------------------------------------------------------------------- 2. latency, delay and limits
 
-    // T1 of a class: well above its usual latency, below the usual time left.
+    // Recomputes the retry time-out of a class: well above its mean latency, below its latency target.
     void update_t1(std::size_t c) {
         const double aim = us(s_.classes[c].latency_target);
         ClassState& state = classes_[c];
@@ -254,7 +299,8 @@
         longest_t1_us_ = std::ranges::max(classes_, {}, &ClassState::t1_us).t1_us;
     }
 
-    // T1 is learned from time-outs too, or it would fall with each: such a latency counts twice the timer.
+    // Updates the mean latency from which the retry time-out follows. Time-outs are samples too, as twice
+    // their timer: without them the retry time-out would fall with each time-out.
     void learn_usual(std::size_t c, double latency_us) {
         classes_[c].usual.learn(latency_us, latency_weight);
         update_t1(c);
@@ -263,7 +309,8 @@
     void learn_latency(std::size_t c, double latency_us) {
         ClassState& state = classes_[c];
         state.latency.learn(latency_us, latency_weight);
-        // Bounded by the first guess: a start under overload must not teach its latencies.
+        // Starts no higher than the initial guess, so that latencies of a start under overload are not
+        // learned as the base.
         const double creep = knows_base(state) ? 1 + base_creep : 1;
         state.base_us = std::min(base_us(c) * creep, state.latency.value);
     }
@@ -274,7 +321,8 @@
         return knows_base(classes_[c]) ? classes_[c].base_us : base_guess * us(s_.classes[c].latency_target);
     }
 
-    // q_avg now: without news it decays to zero, over a few of the longest T1.
+    // Delay of an upstream now (q_avg): without samples it decays to zero, with a time constant of a few
+    // retry time-outs.
     double delay(const Upstream& u, Time now) const { return faded(u.delay_us, u.delay_at, now, decay_us()); }
 
     double decay_us() const { return decay_t1s * longest_t1_us_; }
@@ -301,17 +349,18 @@
         }
     }
 
-    // The concurrency limit over all upstreams: cut while answers are slow, then grown as a TCP window is.
+    // Updates the concurrency limit over all upstreams: decreased by a factor under congestion and increased
+    // additively otherwise, as a TCP congestion window is.
     void learn_room(const AttemptEnd& end, std::size_t c, Time sent_at, Time now) {
         room_ = room();
-        if (sent_at < cut_at_) return;  // sent before the last cut, it says nothing of the room since
+        if (sent_at < cut_at_) return;  // sent before the last decrease: no evidence on the limit since
         double sample = full_crowding;
         if (end.outcome == Outcome::ok) {
             sample = std::min(crowding_cap, us(end.latency) / std::max(1.0, base_us(c)));
         } else if (end.outcome != Outcome::rejected && end.outcome != Outcome::timeout) {
             return;
         }
-        // An answer weighs as much as the time that it speaks for, but never so much that it cuts alone.
+        // The weight grows with the time since the last sample, but one sample alone never causes a decrease.
         const double gap = us(now - crowding_at_);
         const double weight = std::clamp(1 - std::exp(-gap / longest_t1_us_), crowding_weight,
                                          (most_crowding - 1) / full_crowding);
@@ -327,23 +376,27 @@
         }
     }
 
+    // This balancer's part of a number of attempts at each ready upstream.
     double part_of_fleet(double each) const { return each * std::max(1, ready_) / s_.balancers; }
 
-    // Until the first answer, all balancers together hold few enough for the fleet.
+    // The concurrency limit. Until the first response, the limits of all balancers together suit the fleet.
     double room() const { return room_ > 0 ? room_ : part_of_fleet(fair_share); }
 
-    // Is all of `room` in use? It may be less than an attempt: its mean is what counts.
+    // Returns whether a concurrency limit is reached. The limit may be below one attempt, so it is kept on
+    // average: while the smoothed number in flight is below it, a burst may exceed it by its square root plus
+    // one.
     bool room_used(double room) const {
         if (held_ < room) return in_flight_ >= room + 1 + std::sqrt(room);
         return in_flight_ >= room || room < 1;
     }
 
+    // Updates the number of attempts in flight and its smoothed value.
     void count_held(Time now) {
         held_ = in_flight_ + (held_ - in_flight_) * std::exp(-us(now - held_at_) / decay_us());
         held_at_ = now;
         in_flight_ = 0;
         for (const std::size_t i : busy_) {
-            if (fit(upstreams_[i], now)) in_flight_ += upstreams_[i].in_flight;  // the others crowd nobody
+            if (fit(upstreams_[i], now)) in_flight_ += upstreams_[i].in_flight;  // others add no load
         }
     }
 
@@ -354,8 +407,9 @@
         u.limited = true;
     }
 
-    // Would one more request of class c there be answered within `patience`? Its latency is that of a lone
-    // one and what each of ours adds, on a line through what was met lately. Being turned away costs a gap.
+    // Returns whether a further request of class c would have its response within `patience` (microseconds).
+    // The predicted latency is that of a single attempt plus what each own attempt in flight adds: a line
+    // through recent samples. A possible rejection adds a retry time-out.
     bool in_time(const Upstream& u, std::size_t c, double patience, Time now) const {
         if (u.ours == 0) return true;
         const double proportion = u.slowdown / u.ours;
@@ -367,7 +421,8 @@
         return waiting <= aim_margin * (patience - lone) && lone <= most_lone * patience;
     }
 
-    // Would this request there be in time, and any of a class worth more in its part of the aim?
+    // Returns whether this request would be in time at the upstream, and a request of every class with more
+    // worth per work would still be within its share of its latency target.
     bool leaves_all_in_time(const Upstream& u, const Open& r, Time now) const {
         const double own = density(r);
         for (std::size_t d = 0; d < classes_.size(); ++d) {
@@ -378,7 +433,8 @@
         return true;
     }
 
-    // The delay that an outcome tells: reported requests held over the rate, else the latency itself.
+    // Updates the delay of an upstream by an outcome: reported requests in flight times the delay of each, or
+    // the latency itself where no report came.
     void learn_delay(Upstream& u, const AttemptEnd& end, std::size_t c, Time now) {
         const double latency = us(end.latency);
         const bool answered = end.outcome == Outcome::ok || end.outcome == Outcome::error;
@@ -388,12 +444,13 @@
             u.per_held_us += (u.per_held_us == 0 ? 1 : delay_weight) * (per_held - u.per_held_us);
             sample_delay(u, held * u.per_held_us, now);
         } else if (answered || end.outcome == Outcome::timeout) {
-            sample_delay(u, latency, now);  // a time-out counts its timer
+            sample_delay(u, latency, now);  // of a time-out: its timer
         } else if (end.outcome == Outcome::rejected) {
             sample_delay(u, classes_[c].t1_us, now);
         }
     }
 
+    // Decides at random whether an upstream admits a retry. The probability falls linearly with its delay:
     // p = min{[(q_max - q_avg) / (q_max - q_min)]^+, 1}
     bool passes_gate(const Upstream& u, const Open& r, Time now) {
         const double t1 = classes_[class_of(r)].t1_us;
@@ -401,9 +458,10 @@
         return p >= 1 || (p > 0 && random_.unit() < p);
     }
 
-    // While many attempts to open a connection fail, work stays where one is open.
+    // Returns whether work must stay with upstreams that have an open connection, as many new ones fail.
     bool links_dear(Time now) const { return refused_links_.now(now, decay_us()) > dear_share; }
 
+    // Returns whether an own connection to the upstream is probably open.
     bool open_link(const Upstream& u, Time now) const {
         return u.linked && !u.refused &&
                (u.in_flight > 0 || s_.connection_idle_timeout <= Micros{0} ||
@@ -412,7 +470,8 @@
 
     // ----------------------------------------------------------------------- 3. choosing an upstream
 
-    // Rules 3 and 4: may this upstream get new work? Every send passes here. None may on too old a list.
+    // Rules 3 and 4: returns whether an upstream may get new work. Every send is checked here. No upstream
+    // may once the list is stale.
     bool may_get_new_work(Upstream& u, Time now) {
         return u.entry.state == UpstreamState::ready && now < subscription_.send_by(now) &&
                cold_budget_left(u, now);
@@ -420,14 +479,15 @@
 
     bool in_home_zone(const Upstream& u) const { return u.entry.zone == s_.zone; }
 
-    // The subset of a ring in which this balancer places its work: as many upstreams as it can hear from
-    // `hearings` times before it forgets, and enough that each is in several subsets. The subsets of the
-    // balancers follow each other around the ring, so that each upstream is in as many as the next.
+    // Size of the subset of a ring that this balancer uses: as many upstreams as respond to it `hearings`
+    // times within the decay time, and enough that each upstream is in several subsets. The subsets of the
+    // balancers are spread evenly around the ring, so that all upstreams are in about as many.
     std::size_t share_size(std::size_t ring) const {
         const double covering = coverage * ring * s_.zones / s_.balancers;
         return std::max(least_share, static_cast<std::size_t>(std::max(answers_.value / hearings, covering)));
     }
 
+    // Puts an upstream on the ring where its entry belongs, or takes it off. Rings are sorted by position.
     void put_on_ring(std::size_t i) {
         Upstream& u = upstreams_[i];
         const bool listed = u.entry.state != UpstreamState::removed;
@@ -439,7 +499,8 @@
         u.ring = ring;
     }
 
-    // Gathers this balancer's share of a ring. Returns whether at least half of those that it met are fit.
+    // Adds this balancer's subset of a ring to `pool`, `allowed` upstreams only. `lenient` includes unhealthy
+    // ones that accept connections. Returns whether at least half of the upstreams visited can get new work.
     template <typename Allowed>
     bool gather(const std::vector<std::size_t>& ring, std::vector<std::size_t>& pool, std::size_t c, Time now,
                 bool lenient, Allowed allowed) {
@@ -465,8 +526,9 @@
         zone_delay_ += zone_weight * (sample - zone_delay_);
     }
 
-    // The zone to place a request in: one that has less ready and warm than the even part spills what it
-    // lacks to those above it, each by what it has to spare.
+    // Draws the zone for a request. While the own zone has less than an even share of the ready capacity and
+    // is overloaded, what it lacks is spilled to the zones with more than that, in proportion to their
+    // surplus.
     int draw_zone(Time now) {
         carries_.assign(static_cast<std::size_t>(s_.zones), 0);
         double even = 0;
@@ -488,7 +550,8 @@
         return s_.zone;
     }
 
-    // Fills home_ with the upstreams among which a request of class c may be placed.
+    // Fills home_ with the candidates for a request. None is left if the balancer or all upstreams are at
+    // their limits.
     template <typename Allowed>
     void fill_pool(const Open& r, Time now, Allowed allowed) {
         const std::size_t c = class_of(r);
@@ -498,7 +561,7 @@
         home_.clear();
         away_.clear();
         if (room_used(room() * share)) return;
-        // Where the aim is lost, or that is known to be full at what it holds of ours.
+        // At its in-flight limit, or the latency target of this or a more valuable class would be missed.
         const auto lost = [&](std::size_t i) {
             const Upstream& u = upstreams_[i];
             return u.in_flight >= std::max(1.0, u.limit * share) || !leaves_all_in_time(u, r, now);
@@ -512,7 +575,8 @@
         const auto gather_away = [&](bool lenient) {
             if (away_.empty()) gather(away_ring_, away_, c, now, lenient, allowed);
         };
-        // Spills when under half of the zone is ready; slow ones count when the whole fleet looks unfit.
+        // Spills if fewer than half of the zone's upstreams are ready. If no upstream at all is healthy, the
+        // unhealthy ones are used.
         bool spilled = false;
         for (const bool lenient : {false, true}) {
             const bool half = gather(home_ring_, home_, c, now, lenient, allowed);
@@ -522,7 +586,7 @@
             away_.clear();
             if (!home_.empty()) break;
         }
-        // Every candidate of the zone is slow: spill to the others that are not.
+        // All candidates of the zone are slow: spills to upstreams of other zones that are not.
         const auto slow = [&](std::size_t i) { return delay(upstreams_[i], now) > classes_[c].t1_us; };
         if (!spilled && std::all_of(home_.begin(), home_.end(), slow)) {
             gather_away(false);
@@ -539,7 +603,8 @@
         }
     }
 
-    // Moves a random pair to the front: fewer of ours in flight first, then less delay, where a gate sees it.
+    // Moves a random pair of candidates to the front, the better one first: fewer own attempts in flight,
+    // then less delay, where differences below the start of the admission range are ignored.
     void draw_pair(Time now) {
         if (home_.size() < 2) return;
         std::swap(home_[0], home_[random_.below(home_.size())]);
@@ -550,7 +615,7 @@
         if (load(upstreams_[home_[1]]) < load(upstreams_[home_[0]])) std::swap(home_[0], home_[1]);
     }
 
-    // ------------------------------------------------------------------- 4. attempt life and retries
+    // ----------------------------------------------------------------------- 4. attempts and retries
 
     void on_request(Time now, const Request& request) {
         if (request.class_index < 0 || static_cast<std::size_t>(request.class_index) >= classes_.size()) {
@@ -574,14 +639,16 @@
         }
     }
 
-    // Where an answer after the aim is worth nothing, a request ends with its aim unless it is streamed.
+    // When a response stops being worth anything: at the latency target for a class without late worth,
+    // unless it is streamed, else at the deadline.
     Time end_of_worth(const Request& request, Time arrived_at) const {
         const ClassSettings& c = s_.classes[static_cast<std::size_t>(request.class_index)];
         return c.late_worth > 0 || c.streams ? request.deadline : arrived_at + c.latency_target;
     }
 
-    // What came in while this balancer stalled has waited here: an overdue heartbeat tells of the stall, and
-    // the time left, short of the longest that its class comes with, how long a request has waited.
+    // When a request arrived. During a stall of this balancer, requests wait unseen. An overdue heartbeat
+    // shows a stall; how long the request has waited follows from its time left, compared with the longest
+    // time left with which requests of its class arrive.
     Time arrival(const Request& request, Time now) {
         double& longest = classes_[static_cast<std::size_t>(request.class_index)].left_us;
         const double left = us(request.deadline - now);
@@ -597,7 +664,7 @@
         actions_.set_timer(beat_at_, TimerToken{beat_timer, 0, ++beat_serial_}.pack());
     }
 
-    // Originals skip the gate.
+    // Sends the first attempt of a request, which needs no admission.
     bool send_original(std::size_t slot, Time now) {
         const std::size_t c = class_of(open_[slot]);
         if (const std::size_t trial = find_trial(c, now); trial != none) return submit(slot, trial, now);
@@ -606,7 +673,7 @@
         return !home_.empty() && submit(slot, home_[0], now);
     }
 
-    // Retries pass with chance p: a fresh pair first, then the rest.
+    // Sends a retry to the first candidate that admits it: a new random pair first, then the others.
     bool send_retry(std::size_t slot, Time now) {
         const Open& r = open_[slot];
         const std::size_t failed = r.attempts.empty() ? none : r.attempts.back().upstream;
@@ -618,7 +685,7 @@
         return false;
     }
 
-    // Rules 1 and 2: may this request be sent (again), to this upstream, now? Every send passes here.
+    // Rules 1 and 2: returns whether a request may be sent to this upstream now. Every send is checked here.
     bool may_send(const Open& r, std::size_t to, Time now) const {
         const ClassSettings& c = s_.classes[class_of(r)];
         if (r.done || now >= send_by(r)) return false;
@@ -633,8 +700,9 @@
         return true;
     }
 
-    // When a further attempt must have gone out whole: the group forgets an attempt that may have run after
-    // the window, and a connection may come up later than that.
+    // When a further attempt must have been sent in full. Once the deduplication window of an attempt that
+    // may have run is over, its group no longer drops a repeat, and a connection may be established later
+    // than that.
     Time send_by(const Open& r) const {
         const ClassSettings& c = s_.classes[class_of(r)];
         const auto ran = std::ranges::find_if(r.attempts, &Attempt::may_have_run);
@@ -669,7 +737,8 @@
         return true;
     }
 
-    // The attempt time-out is the retry timer. There is none where no further attempt could follow it.
+    // Time-out of the next attempt, equal to the back-off after it; 0: none, as no further attempt could
+    // follow.
     Micros attempt_timer(const Open& r, Time now) const {
         const ClassSettings& c = s_.classes[class_of(r)];
         const Micros timer = gap(r);
@@ -680,11 +749,13 @@
         return timer;
     }
 
+    // Back-off: the time from an attempt to the next one.
     Micros gap(const Open& r) const {
         return micros(classes_[class_of(r)].t1_us * std::exp2(std::min(r.round, 30)));
     }
 
-    // Waits out the gap that began at `since`, or gives up if nothing can be sent before the deadline.
+    // Schedules a retry at the end of the back-off that began at `since`. Gives the request up if nothing
+    // could be sent before its deadline.
     void wait_gap(std::size_t slot, Time since, Time now) {
         Open& r = open_[slot];
         const Time at = std::max(since + gap(r), now);
@@ -736,7 +807,8 @@
         if (end.request_done) r.done = true;
         if (r.done) return release_if_over(slot);
         if (!may_try_again(r, now)) return finish(slot);
-        // What was turned away without having run goes on through the gate without a gap, at first.
+        // The first attempts that have not run are retried without a back-off, if an upstream admits the
+        // retry.
         const Micros since = a.sent_at;
         if (turned_away && r.attempts.size() <= at_once && send_retry(slot, now)) return;
         wait_gap(slot, since, now);
@@ -776,7 +848,7 @@
     void release_if_over(std::size_t slot) {
         Open& r = open_[slot];
         if (!r.done || r.in_flight > 0) return;
-        ++r.wake;  // timers still out no longer count
+        ++r.wake;  // invalidates pending timers
         open_.erase(r.request.id);
     }
 
@@ -784,6 +856,7 @@
 
     // -------------------------------------------------------------------------------------- 5. health
 
+    // Returns whether an upstream is neither ejected nor silent with several attempts in flight.
     bool fit(const Upstream& u, Time now) const {
         const double silent_us = us(now - std::max(u.answered_at, u.busy_since));
         return !u.out && (u.in_flight <= 1 || silent_us <= silence_t1s * longest_t1_us_);
@@ -791,7 +864,7 @@
 
     void learn_health(Upstream& u, Outcome outcome, std::size_t c, Time now) {
         if (outcome == Outcome::cancelled || outcome == Outcome::not_sent) return;
-        // A time-out says something of the upstream only while nothing else is answered there.
+        // A time-out counts as a failure only while the upstream responds to nothing else.
         const bool busy = u.answered_at + micros(classes_[c].t1_us) >= now;
         if (outcome == Outcome::timeout && busy) return;
         const bool answered =
@@ -806,7 +879,8 @@
         u.died = false;
     }
 
-    // An upstream that loses most of a class, and far more than is lost on the whole, gets none for a while.
+    // Ejects an upstream for one class, for a while, if most attempts of that class fail there and far more
+    // than at all upstreams together.
     void learn_service(Upstream& u, Outcome outcome, std::size_t c, Time now) {
         const bool lost = outcome == Outcome::timeout || outcome == Outcome::error;
         if (!lost && outcome != Outcome::ok) return;
@@ -814,7 +888,7 @@
         Service& service = u.services[c];
         service.lost += lost_weight * (lost - service.lost);
         if (lost && service.lost > std::max(lost_share, lost_more * classes_[c].lost)) {
-            const double sure = (service.lost - lost_share) / (1 - lost_share);  // a few lost may be chance
+            const double sure = (service.lost - lost_share) / (1 - lost_share);  // a few may be chance
             service.out_until =
                 now + first_penalty() + micros(sure * sure * us(longest_penalty() - first_penalty()));
         }
@@ -822,11 +896,13 @@
 
     bool serves(const Upstream& u, std::size_t c, Time now) const { return now >= u.services[c].out_until; }
 
+    // Counts a failure as `weight` consecutive ones. Ejects the upstream once they reach the limit; a failed
+    // trial extends the ejection.
     void strike(Upstream& u, int weight, Time now) {
         u.trial = false;
         u.strikes += weight;
         if (u.strikes < max_strikes && !u.out) return;
-        if (!u.out) note(now, "upstream put out", u);
+        if (!u.out) note(now, "upstream ejected", u);
         if (u.out && now < u.out_until) return;
         out_ += !u.out;
         u.out = true;
@@ -835,6 +911,7 @@
         u.penalty = std::min(micros(us(u.penalty) * penalty_growth), longest_penalty());
     }
 
+    // Length of a first and of the longest ejection.
     Micros first_penalty() const { return micros(decay_us()); }
     Micros longest_penalty() const {
         return std::max(first_penalty(), micros(us(s_.ramp_time) * share_of_ramp_out));
@@ -842,10 +919,11 @@
 
     bool all_out() const { return static_cast<std::size_t>(out_) == home_ring_.size() + away_ring_.size(); }
 
-    // An upstream that took no connection may be a new process by now: cold until the list says otherwise.
-    // Where all were out at once it was the network, and holding all for cold would turn everything away.
+    // Readmits an ejected upstream after a success. One that accepted no connection may have been restarted,
+    // so it is cold until the list says otherwise. If all upstreams were ejected at once, the network has
+    // failed instead, and treating all as cold would lead to the refusal of nearly all requests.
     void come_back(Upstream& u, Time now) {
-        note(now, "upstream back", u);
+        note(now, "upstream readmitted", u);
         const bool network = all_out_at_ && now - *all_out_at_ < s_.ramp_time;
         if (u.died && !network && !(u.cold_since && now - *u.cold_since < s_.ramp_time))
             begin_cold(u, now, now);
@@ -859,9 +937,12 @@
         u.penalty = first_penalty();
     }
 
-    // An upstream put out is tried again by a probe where they are allowed, else by a repeatable request.
+    // Finds an ejected upstream for which a trial is due and returns it if the request of class c may be the
+    // trial, else `none`. Sends a probe as the trial instead where probes are allowed. Requests are trials
+    // only if they are idempotent, or if no connection could be established, in which case they do not run.
     std::size_t find_trial(std::size_t c, Time now) {
-        // While all are out, requests go on being tried: one that gets no connection has not run.
+        // While all upstreams are ejected and no attempt was sent for a while, a request is tried at a random
+        // one that accepted no connection: without a connection it does not run.
         if (!upstreams_.empty() && all_out() && now - submitted_at_ >= untried_most) {
             const std::size_t i = random_.below(upstreams_.size());
             if (upstreams_[i].died && may_get_new_work(upstreams_[i], now)) return i;
@@ -896,14 +977,15 @@
         }
     }
 
+    // Logs a change of an upstream's health, at most one each `log_gap`.
     void note(Time now, const char* what, const Upstream& u) {
         if (noted_ && now - *noted_ < log_gap) return;
         noted_ = now;
-        actions_.log(std::string(what) + ": zone " + std::to_string(u.entry.zone) + ", strikes " +
-                     std::to_string(u.strikes));
+        actions_.log(std::string(what) + ": zone " + std::to_string(u.entry.zone) +
+                     ", consecutive failures " + std::to_string(u.strikes));
     }
 
-    // --------------------------------------------------------------------------------- 6. cold budget
+    // ------------------------------------------------------------------------------ 6. cold upstreams
 
     void begin_cold(Upstream& u, Time since, Time now) {
         u.cold_since = since;
@@ -911,16 +993,17 @@
         u.answer_rate = {};
     }
 
-    // Share of its capacity that an upstream has at least by now; 1 when warm.
+    // Least share of its capacity that an upstream has by now; 1 once it is warm.
     double warmth(const Upstream& u, Time now) const {
         if (!u.cold_since || s_.ramp_time <= Micros{0}) return 1;
         const double age = us(now - *u.cold_since) / us(s_.ramp_time);
         return age >= 1 ? 1 : s_.cold_share + (1 - s_.cold_share) * std::max(age, 0.0);
     }
 
-    // A cold upstream gets its warmth's share of what warm ones answer for us, counted over half the fall
-    // span. The budget starts at a random part of a request and fills no faster than our own part of the
-    // upstream's work, so that the sum over all balancers keeps it too.
+    // Returns whether a cold upstream may get one more request. It gets the rate at which warm upstreams
+    // respond to this balancer, times the share of its capacity that it has by now, with bursts of half the
+    // fall span. The token bucket starts with a random part of a request and fills no faster than this
+    // balancer's own part of the upstream's work, so that all balancers together stay within the limit.
     bool cold_budget_left(Upstream& u, Time now) {
         const double share = warmth(u, now);
         if (share >= 1 || s_.fall_span <= Micros{0}) return true;
@@ -929,7 +1012,8 @@
         return u.cold_budget.fill(rate * us(now - u.cold_budget.filled_at) / 1e6, most, now);
     }
 
-    // Requests a second that a warm upstream serves for us at least: one in the longest aim for the fleet.
+    // Least rate assumed for a warm upstream, in requests a second for this balancer: one request in the
+    // longest latency target for all balancers together.
     double least_rate() const {
         return 1e6 / us(std::ranges::max(s_.classes, {}, &ClassSettings::latency_target).latency_target) /
                s_.balancers;
@@ -937,8 +1021,9 @@
 
     void spend_cold_budget(Upstream& u) { u.cold_budget.tokens -= 1; }
 
-    // Answers a second that a warm upstream gives this balancer: the mean over those of the same kind in the
-    // zone, or in the others, else over all there, also over those that it never uses.
+    // Responses a second that a warm upstream gives this balancer: the mean over warm ones of the same kind
+    // on the same side (own zone or others), or of any kind if there is none; upstreams outside the subset
+    // count too.
     double warm_rate(const Upstream& like, Time now) {
         const auto kind = 2 * static_cast<std::size_t>(std::max(0, like.entry.kind)) + in_home_zone(like);
         if (warm_rates_.size() <= kind) warm_rates_.resize(kind + 1);
@@ -959,7 +1044,8 @@
 
     // ------------------------------------------------------------------------------------- 7. refusal
 
-    // Rule 2: a refusal promises that trying again is harmless.
+    // Rule 2: a refusal promises that a retry is harmless. So the request must be idempotent or deduplicated
+    // by all upstreams, or no attempt may have run.
     bool may_refuse(const Open& r) const {
         const ClassSettings& c = s_.classes[class_of(r)];
         if (c.effect == Effect::idempotent || (c.effect == Effect::deduplicated && c.group == Group::all))
@@ -967,7 +1053,7 @@
         return std::ranges::none_of(r.attempts, &Attempt::may_have_run);
     }
 
-    // Share of an upstream's room that a request may fill: all of it for the class worth most for its work.
+    // Share of a limit that a request may use: all of it for the class with the most worth per work.
     double precedence(const Open& r) const {
         const double own = density(r);
         double most = own;
@@ -975,7 +1061,9 @@
         return share_beside(own, most);
     }
 
-    // What a tenant sends beyond its share, by this balancer's largest part, counts `over_share_worth`.
+    // Share of its class's worth that a request has: `over_share_worth` beyond the tenant's share. The share
+    // at one balancer is the tenant's quota divided by the number of zones and of balancers in each, rounded
+    // down.
     double worth_within_share(const Request& request, Time now) {
         if (!request.tenant || static_cast<std::size_t>(*request.tenant) >= shares_.size()) return 1;
         const auto tenant = static_cast<std::size_t>(*request.tenant);
@@ -993,8 +1081,8 @@
         return least_patience + (1 - least_patience) * density / denser;
     }
 
-    // Worth for the work, for which latency stands: the longest useful one before the first answer. None for
-    // a class of which no request has come: nothing is left to that.
+    // Worth of a class per work. The mean latency stands for the work, the latency target before the first
+    // response. 0 for a class without any request so far, so that nothing is reserved for it.
     double density(std::size_t c) const {
         if (classes_[c].left_us == 0) return 0;
         const double work =
@@ -1004,7 +1092,8 @@
 
     double density(const Open& r) const { return density(class_of(r)) * r.worth; }
 
-    // No upstream has room: it waits a gap if it can still be in time after that, else it is refused.
+    // No upstream can take the request: it waits for a back-off if it can still be in time after that, else
+    // it is refused.
     void turn_away(std::size_t slot, Time now) {
         const Open& r = open_[slot];
         if (upstreams_.empty() ||
@@ -1015,7 +1104,8 @@
         }
     }
 
-    // The balancer's own final answer. Advice: by one lone latency a place may be free; more misses the aim.
+    // Gives the balancer's own final response. The advice on a retry is one base latency, by which an attempt
+    // may have ended; a longer time would miss the latency target.
     void finish(std::size_t slot) {
         Open& r = open_[slot];
         if (r.done) return;
@@ -1034,41 +1124,42 @@
     const Settings s_;
     Actions& actions_;
     Random random_;
-    std::size_t in_flight_field_ = 0;  // in a report; beyond its end where it has none
-    double rate_window_us_ = 0;
-    double longest_t1_us_ = 0;  // over all classes
+    std::size_t in_flight_field_ = 0;  // index in a load report; beyond its end if the field is not reported
+    double rate_window_us_ = 0;        // time constant of response rates
+    double longest_t1_us_ = 0;         // longest retry time-out of all classes
 
-    std::vector<Upstream> upstreams_;  // in the order in which the list named them
+    std::vector<Upstream> upstreams_;  // in the order in which the list first named them
     std::unordered_map<UpstreamId, std::size_t> index_;
     ListSubscription subscription_;
     std::uint32_t call_serial_ = 0;
-    Time beat_at_{};  // when the next beat is due
+    Time beat_at_{};  // when the next heartbeat is due
     std::uint32_t beat_serial_ = 0;
 
-    std::vector<std::size_t> home_ring_, away_ring_;  // those listed, in the order in which shares take them
-    double zone_delay_ = 1;  // smoothed, of the own zone, as a share of the aim; at first the list decides
-    std::vector<std::size_t> busy_;   // those with attempts of ours in flight
-    int out_ = 0;                     // how many are put out
-    Time submitted_at_{};             // when the last attempt began
-    std::optional<Time> all_out_at_;  // when last all of them were
-    FadingSum answers_;               // answers within what is remembered
-
-    int ready_ = 0;        // upstreams listed and not put out
-    int in_flight_ = 0;    // attempts of ours at fit upstreams at the last choice
-    double crowding_ = 1;  // smoothed latency as a multiple of the base latency, since the last cut
-    Time crowding_at_{};   // when it was last learned
-    Time cut_at_{};        // when the room was last cut
-    double room_ = 0;      // what in_flight_ may be; 0: not yet known
+    std::vector<std::size_t> home_ring_, away_ring_;  // listed upstreams of the own zone and of the others
+    double zone_delay_ = 1;  // smoothed delay of the own zone, as a share of the latency target; the initial
+                             // value lets capacity alone decide on spillover
+    std::vector<std::size_t> busy_;   // upstreams with own attempts in flight
+    int out_ = 0;                     // number of ejected upstreams
+    Time submitted_at_{};             // when the last attempt was sent
+    std::optional<Time> all_out_at_;  // when all upstreams were last ejected at once
+    FadingSum answers_;               // responses within the decay time
+
+    int ready_ = 0;        // upstreams listed and not ejected
+    int in_flight_ = 0;    // own attempts at healthy upstreams
+    double crowding_ = 1;  // congestion since the last decrease of the limit
+    Time crowding_at_{};   // when a sample was last added
+    Time cut_at_{};        // when the concurrency limit was last decreased
+    double room_ = 0;      // concurrency limit: the most that in_flight_ may be; 0: not yet known
     double held_ = 0;      // in_flight_, smoothed
     Time held_at_{};
-    std::vector<WarmRate> warm_rates_;  // by kind and side
-    FadingAverage refused_links_;       // of attempts to open a connection, those that failed
+    std::vector<WarmRate> warm_rates_;  // by kind and side (own zone or others)
+    FadingAverage refused_links_;       // failure rate of attempts to open a connection
     std::vector<ClassState> classes_;
-    std::vector<TokenBucket> shares_;  // requests that a tenant has left within its share
+    std::vector<TokenBucket> shares_;  // by tenant: requests left within its share
     util::SlotTable<Open> open_;
-    std::vector<std::size_t> home_, away_;  // scratch of fill_pool
-    std::vector<double> carries_;           // scratch of draw_zone
-    std::optional<Time> noted_;
+    std::vector<std::size_t> home_, away_;  // reused buffers of fill_pool
+    std::vector<double> carries_;           // reused buffer of draw_zone
+    std::optional<Time> noted_;             // when a line was last logged
 };
 
 Policy::Policy(const Settings& settings, std::uint64_t seed, Time now, Actions& actions)
