--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -167,7 +167,7 @@
     double single_slowdown = 0;         // the slowdown of attempts whose in_flight_at_send was 1
     double in_flight_limit = initial_in_flight_limit;  // of own attempts
     bool limit_decreased = false;                      // at least once
-    FadingAverage rejection_rate;                      // share of attempts that were rejected
+    DecayingAverage rejection_rate;                    // share of attempts that were rejected
 
     int consecutive_failures = 0;
     bool ejected = false;      // gets trial requests or probes only
@@ -179,8 +179,8 @@
     Time busy_since{};  // when in_flight last rose from zero
 
     std::optional<Time> cold_since;
-    TokenBucket cold_budget;  // requests that may be sent now while the upstream is cold
-    FadingSum response_rate;  // own responses a second
+    TokenBucket cold_budget;    // requests that may be sent now while the upstream is cold
+    DecayingSum response_rate;  // own responses a second
 };
 
 struct Attempt {
@@ -325,13 +325,13 @@
     // Updates the mean latency from which the retry time-out follows. Time-outs are samples too, as twice
     // their timer: without them the retry time-out would fall with each time-out.
     void learn_latency_or_timeout(std::size_t class_index, double latency_us) {
-        classes_[class_index].latency_with_timeouts.learn(latency_us, class_latency_weight);
+        classes_[class_index].latency_with_timeouts.add_sample(latency_us, class_latency_weight);
         update_retry_timeout(class_index);
     }
 
     void learn_response_latency(std::size_t class_index, double latency_us) {
         ClassState& state = classes_[class_index];
-        state.response_latency.learn(latency_us, class_latency_weight);
+        state.response_latency.add_sample(latency_us, class_latency_weight);
         // Starts no higher than the initial guess, so that latencies of a start under overload are not
         // learned as the base.
         const double growth = knows_base_latency(state) ? 1 + base_latency_growth : 1;
@@ -352,7 +352,7 @@
     // Delay of an upstream now (q_avg): without samples it decays to zero, with a time constant of a few
     // retry time-outs.
     double current_delay_us(const Upstream& upstream, Time now) const {
-        return faded(upstream.delay_us, upstream.delay_updated_at, now, decay_time_us());
+        return decayed(upstream.delay_us, upstream.delay_updated_at, now, decay_time_us());
     }
 
     double decay_time_us() const { return decay_retry_timeouts * longest_retry_timeout_us_; }
@@ -443,7 +443,7 @@
     }
 
     void learn_rejection(Upstream& upstream, bool rejected, Time now) {
-        upstream.rejection_rate.learn(rejected, upstream_sample_weight, now, decay_time_us());
+        upstream.rejection_rate.add_sample(rejected, upstream_sample_weight, now, decay_time_us());
         if (!rejected) return;
         upstream.in_flight_limit =
             std::max(1.0, std::min<double>(upstream.in_flight_limit, upstream.in_flight));
@@ -468,9 +468,9 @@
                                base_latency_us(class_index);
         const double queueing_us =
             upstream.in_flight * each_us +
-            upstream.rejection_rate.now(now, decay_time_us()) * classes_[class_index].retry_timeout_us;
+            upstream.rejection_rate.value_at(now, decay_time_us()) * classes_[class_index].retry_timeout_us;
         const double single_us =
-            faded(recent_single_slowdown, upstream.last_response_at, now, decay_time_us()) *
+            decayed(recent_single_slowdown, upstream.last_response_at, now, decay_time_us()) *
             base_latency_us(class_index);
         return queueing_us <= queueing_time_share * (allowed_us - single_us) &&
                single_us <= max_single_latency_share * allowed_us;
@@ -520,7 +520,7 @@
 
     // Returns whether work must stay with upstreams that have an open connection, as many new ones fail.
     bool avoids_new_connections(Time now) const {
-        return connect_failure_rate_.now(now, decay_time_us()) > max_connect_failure_rate;
+        return connect_failure_rate_.value_at(now, decay_time_us()) > max_connect_failure_rate;
     }
 
     // Returns whether an own connection to the upstream is probably open.
@@ -885,8 +885,8 @@
         upstream.last_outcome_at = now;
         upstream.last_connect_failed = end.outcome == Outcome::connect_failed;
         if (attempt.new_connection)
-            connect_failure_rate_.learn(upstream.last_connect_failed, connect_outcome_weight, now,
-                                        decay_time_us());
+            connect_failure_rate_.add_sample(upstream.last_connect_failed, connect_outcome_weight, now,
+                                             decay_time_us());
         close_idle_if_draining(upstream);
         update_in_flight(now);
         const std::size_t class_index = class_of(open);
@@ -1160,7 +1160,7 @@
                 continue;
             if (in_own_zone(upstream) != in_own_zone(reference)) continue;
             const int same = upstream.entry.kind == reference.entry.kind;
-            rate_sum[same] += upstream.response_rate.now(now, rate_window_us_);
+            rate_sum[same] += upstream.response_rate.value_at(now, rate_window_us_);
             ++count[same];
         }
         cached = {count[1] > 0 ? rate_sum[1] / count[1] : count[0] > 0 ? rate_sum[0] / count[0] : 0, now};
@@ -1277,7 +1277,7 @@
     int ejected_count_ = 0;                    // ejected upstreams
     Time last_submit_at_{};
     std::optional<Time> all_ejected_at_;  // when all upstreams were last ejected at once
-    FadingSum recent_responses_;          // within the decay time
+    DecayingSum recent_responses_;        // within the decay time
 
     int ready_count_ = 0;    // upstreams listed and not ejected
     int in_flight_ = 0;      // own attempts at healthy upstreams
@@ -1287,8 +1287,8 @@
     double concurrency_limit_ = 0;  // the most that in_flight_ may be; 0: not yet known
     double mean_in_flight_ = 0;     // in_flight_, smoothed
     Time mean_in_flight_at_{};
-    std::vector<WarmRate> warm_rates_;    // by kind and side (own zone or others)
-    FadingAverage connect_failure_rate_;  // share of attempts to open a connection that failed
+    std::vector<WarmRate> warm_rates_;      // by kind and side (own zone or others)
+    DecayingAverage connect_failure_rate_;  // share of attempts to open a connection that failed
     std::vector<ClassState> classes_;
     std::vector<TokenBucket> tenant_quotas_;  // by tenant: requests left within its share
     util::SlotTable<OpenRequest> open_requests_;
--- a/src/settings_check.h
+++ b/src/settings_check.h
@@ -1,11 +1,11 @@
-// Checks that settings do not contradict themselves.
+// Checks settings for values out of range and for contradictions.
 #pragma once
 
 #include "flaxdoor/decide.h"
 
 namespace flaxdoor {
 
-// Throws std::invalid_argument, naming the setting that is at fault.
+// Throws std::invalid_argument with a message that names the first setting at fault.
 void check_settings(const Settings& settings);
 
 }  // namespace flaxdoor
--- a/src/util/decay.h
+++ b/src/util/decay.h
@@ -1,4 +1,4 @@
-// Values that fade as time goes by.
+// Averages and sums that decay exponentially with time.
 #pragma once
 
 #include <chrono>
@@ -8,39 +8,44 @@
 
 using Micros = std::chrono::microseconds;
 
-// A span in microseconds as a number, and back (rounded).
+// Converts a duration to a number of microseconds, and back with rounding.
 inline double us(Micros span) { return static_cast<double>(span.count()); }
 inline Micros micros(double us) { return Micros(std::llround(us)); }
 
-// What is left by `now` of a value learned at `then`: 1/e of it after each `span_us` microseconds.
-inline double faded(double value, Micros then, Micros now, double span_us) {
-    return value * std::exp(-us(now - then) / span_us);
+// Returns the value at `now` of one that was `value` at `then` and decays exponentially with the time
+// constant `time_constant_us`, in microseconds: 1/e of it is left after each time constant.
+inline double decayed(double value, Micros then, Micros now, double time_constant_us) {
+    return value * std::exp(-us(now - then) / time_constant_us);
 }
 
-// An exponentially weighted average that fades towards zero without samples.
-struct FadingAverage {
-    double value = 0;  // as it was at `at`
-    Micros at{};
+// An exponentially weighted moving average that decays towards zero without samples.
+struct DecayingAverage {
+    double value = 0;  // as of `updated_at`
+    Micros updated_at{};
 
-    double now(Micros when, double span_us) const { return faded(value, at, when, span_us); }
+    double value_at(Micros when, double time_constant_us) const {
+        return decayed(value, updated_at, when, time_constant_us);
+    }
 
-    void learn(double sample, double weight, Micros when, double span_us) {
-        value = now(when, span_us);
+    void add_sample(double sample, double weight, Micros when, double time_constant_us) {
+        value = value_at(when, time_constant_us);
         value += weight * (sample - value);
-        at = when;
+        updated_at = when;
     }
 };
 
-// A sum of amounts that each fade towards zero.
-struct FadingSum {
-    double value = 0;  // as it was at `at`
-    Micros at{};
+// A sum of amounts that each decay towards zero.
+struct DecayingSum {
+    double value = 0;  // as of `updated_at`
+    Micros updated_at{};
 
-    double now(Micros when, double span_us) const { return faded(value, at, when, span_us); }
+    double value_at(Micros when, double time_constant_us) const {
+        return decayed(value, updated_at, when, time_constant_us);
+    }
 
-    void add(double amount, Micros when, double span_us) {
-        value = now(when, span_us) + amount;
-        at = when;
+    void add(double amount, Micros when, double time_constant_us) {
+        value = value_at(when, time_constant_us) + amount;
+        updated_at = when;
     }
 };
 
--- a/src/util/random.h
+++ b/src/util/random.h
@@ -1,4 +1,4 @@
-// A seeded generator of random numbers that gives the same numbers on every platform.
+// A seeded random number generator with the same output on every platform.
 #pragma once
 
 #include <cstddef>
@@ -6,7 +6,7 @@
 
 namespace flaxdoor::util {
 
-// SplitMix64. The generators of <random> are portable, but the distributions over them are not.
+// SplitMix64. The generators of <random> are portable, but its distributions are not.
 class Random {
 public:
     explicit Random(std::uint64_t seed) : state_(seed) {}
@@ -18,10 +18,10 @@
         return z ^ (z >> 31);
     }
 
-    // A number from 0 to `bound` - 1; `bound` is below 2^32.
+    // Returns a number from 0 to `bound` - 1; `bound` must be below 2^32.
     std::size_t below(std::size_t bound) { return static_cast<std::size_t>((next() >> 32) * bound >> 32); }
 
-    // A number from 0 (included) to 1 (not included).
+    // Returns a number in [0, 1).
     double unit() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }
 
 private:
--- a/src/util/slot_table.h
+++ b/src/util/slot_table.h
@@ -1,4 +1,4 @@
-// A table of records that are found by id or by slot.
+// A table of records that can be looked up by id or by slot.
 #pragma once
 
 #include <cstddef>
@@ -8,14 +8,14 @@
 
 namespace flaxdoor::util {
 
-// Slots are small numbers that are used again, and so are the records in them: a new record is as the last
-// one in its slot was left. References to records last until the next insert().
+// Slots are small indices. Slots are reused together with their records: insert() leaves the record in the
+// state in which the slot's last user left it. References to records are valid until the next insert().
 template <typename Record>
 class SlotTable {
 public:
     static constexpr std::size_t none = static_cast<std::size_t>(-1);
 
-    // The slot for a new id, which must not be held.
+    // Returns the slot for a new id, which must not be in the table.
     std::size_t insert(std::uint64_t id) {
         std::size_t slot = records_.size();
         if (free_.empty()) {
@@ -28,7 +28,7 @@
         return slot;
     }
 
-    // The slot of an id, or `none`.
+    // Returns the slot of an id, or `none`.
     std::size_t find(std::uint64_t id) const {
         const auto found = by_id_.find(id);
         return found == by_id_.end() ? none : found->second;
@@ -44,7 +44,7 @@
     Record& operator[](std::size_t slot) { return records_[slot]; }
     const Record& operator[](std::size_t slot) const { return records_[slot]; }
 
-    // Slots in use or free.
+    // Returns the number of slots, in use or free.
     std::size_t size() const { return records_.size(); }
 
 private:
--- a/src/util/timer_token.h
+++ b/src/util/timer_token.h
@@ -1,4 +1,5 @@
-// What a timer of the decision module is for, packed into the number that its host hands back.
+// The purpose of a timer of the decision module, packed into the token that the host passes back to
+// on_timer().
 #pragma once
 
 #include <cstddef>
@@ -6,8 +7,8 @@
 
 namespace flaxdoor::util {
 
-// Four bits tell the kind, 28 the slot, 32 the serial number: a timer whose serial has been overtaken no
-// longer counts.
+// 4 bits of kind, 28 bits of slot and 32 bits of serial number. Timers can't be cancelled: one whose serial
+// number is no longer the latest is to be ignored.
 struct TimerToken {
     std::uint64_t kind = 0;
     std::size_t slot = 0;
--- a/src/util/token_bucket.h
+++ b/src/util/token_bucket.h
@@ -1,4 +1,4 @@
-// A token bucket.
+// A token bucket whose rate and capacity are given with each refill.
 #pragma once
 
 #include <algorithm>
@@ -10,9 +10,10 @@
     double tokens = 0;
     std::chrono::microseconds filled_at{};
 
-    // Adds what has been gained since `filled_at`, up to `most` in all. Returns whether a token can be taken.
-    bool fill(double gained, double most, std::chrono::microseconds now) {
-        tokens = std::min(most, tokens + gained);
+    // Adds the tokens gained since `filled_at`, up to `capacity` in all. Returns whether a token is
+    // available. Takes none.
+    bool fill(double gained, double capacity, std::chrono::microseconds now) {
+        tokens = std::min(capacity, tokens + gained);
         filled_at = now;
         return tokens >= 1;
     }
