--- a/tests/embed/main.cpp
+++ b/tests/embed/main.cpp
@@ -1,5 +1,5 @@
-// The smallest host: two upstreams, one request, a failed connection and the retry. Prints what it is asked
-// to do.
+// A minimal host that embeds the installed library: two upstreams, one request, a failed connection and the
+// retry. Prints the actions.
 #include <flaxdoor/decide.h>
 
 #include <cstdio>
@@ -54,14 +54,14 @@
     policy.on_request(milliseconds(1), request);
     const flaxdoor::UpstreamId first = host.last;
 
-    flaxdoor::AttemptEnd end;  // the connection fails: the module may send again at once, or wait a gap
+    flaxdoor::AttemptEnd end;  // the connection fails: the policy may retry immediately or after a back-off
     end.request = request.id;
     end.outcome = flaxdoor::Outcome::connect_failed;
     end.latency = milliseconds(2);
     end.upstream = first;
     policy.on_attempt_end(milliseconds(3), end);
 
-    while (host.sent < 2 && !host.timers.empty()) {  // a host's loop: fire what is due, in order of time
+    while (host.sent < 2 && !host.timers.empty()) {  // the host's event loop: fires timers in order of time
         const auto [at, token] = *host.timers.begin();
         host.timers.erase(host.timers.begin());
         if (at > request.deadline) break;
--- a/tests/list_subscription_test.cpp
+++ b/tests/list_subscription_test.cpp
@@ -99,7 +99,7 @@
     EXPECT_EQ(rig.sink.watches, before + 1);
     rig.list(ListKind::silent, {});
     rig.run(called + std::chrono::seconds(6) + s.drain_grace);
-    EXPECT_EQ(rig.sink.sends(rig.request(unsafe)), 0u);
+    EXPECT_EQ(rig.sink.sends(rig.request(at_most_once)), 0u);
 }
 
 // What a watch that ended did not tell counts as told 2 s later. The first call comes so early that it may
@@ -126,10 +126,10 @@
     EXPECT_LE(rig.sink.submits.back().send_by, ended + ms(2500));  // its connection may come up late
     rig.end(in_time, 0, Outcome::ok);
     rig.run(ended + ms(2500));
-    const RequestId late = rig.request(unsafe);
+    const RequestId late = rig.request(at_most_once);
     EXPECT_EQ(rig.sink.sends(late), 0u);
     rig.list(ListKind::full, {Rig::entry(1)});
-    EXPECT_EQ(rig.sink.sends(rig.request(unsafe)), 1u);
+    EXPECT_EQ(rig.sink.sends(rig.request(at_most_once)), 1u);
 }
 
 // Discovery that can't be reached has told nothing: work goes on on the old list.
@@ -255,7 +255,7 @@
     }
 
     bool sends_now() {
-        const RequestId id = request(unsafe);
+        const RequestId id = request(at_most_once);
         const bool sent = sink.sends(id) == 1;
         if (sent) end(id, 0, Outcome::ok);
         return sent;
@@ -370,7 +370,7 @@
             while (rig.sink.watches == before) rig.run(rig.now + ms(5));
             rig.run(rig.now + hang);
             rig.list(kind, {});
-            const RequestId id = rig.request(unsafe);
+            const RequestId id = rig.request(at_most_once);
             sent = rig.sink.sends(id) == 1;
             if (sent) rig.end(id, 0, Outcome::ok);
             if (rig.now < started + std::chrono::seconds(12)) {
--- a/tests/rig.h
+++ b/tests/rig.h
@@ -1,4 +1,5 @@
-// Drives a Policy by hand: a sink that records what it is asked to do, and short ways to make events.
+// A test rig for a Policy: an Actions implementation that records the actions, and shorthands that make
+// events.
 #pragma once
 
 #include <algorithm>
@@ -24,6 +25,7 @@
     Time send_by;
 };
 
+// Records all actions.
 class Recorder : public Actions {
 public:
     void submit(RequestId request, UpstreamId upstream, Micros timeout, Time send_by) override {
@@ -61,19 +63,22 @@
         note("close", upstream);
     }
     void send_message(std::optional<int> peer, std::string_view payload) override {
-        told.emplace_back(peer, payload);
+        messages.emplace_back(peer, payload);
         note("tell", payload.size());
     }
-    void log(std::string_view line) override { lines.emplace_back(line); }
+    void log(std::string_view line) override { log_lines.emplace_back(line); }
 
-    std::size_t answers(RequestId id) const {
+    // Number of final responses of the balancer itself: refusals and failures.
+    std::size_t final_responses(RequestId id) const {
         return static_cast<std::size_t>(std::count(refused.begin(), refused.end(), id) +
                                         std::count(failed.begin(), failed.end(), id));
     }
+    // Number of attempts of a request.
     std::size_t sends(RequestId id) const {
         return static_cast<std::size_t>(
             std::count_if(submits.begin(), submits.end(), [&](const Submit& s) { return s.request == id; }));
     }
+    // Number of attempts at an upstream.
     std::size_t sends_to(UpstreamId id) const {
         return static_cast<std::size_t>(
             std::count_if(submits.begin(), submits.end(), [&](const Submit& s) { return s.upstream == id; }));
@@ -83,19 +88,27 @@
     std::vector<RequestId> refused, failed;
     std::vector<std::pair<RequestId, int>> cancelled;
     std::vector<UpstreamId> probed, closed;
-    std::vector<std::pair<std::optional<int>, std::string>> told;
+    std::vector<std::pair<std::optional<int>, std::string>> messages;
     std::vector<std::pair<Time, std::uint64_t>> timers;
-    std::vector<std::string> lines, script;
+    std::vector<std::string> log_lines, action_log;  // action_log: most actions, each with its main argument
     int watches = 0;
 
 private:
     void note(const char* what, std::uint64_t id) {
-        script.push_back(std::string(what) + std::to_string(id));
+        action_log.push_back(std::string(what) + std::to_string(id));
     }
 };
 
-enum ClassIndex { safe, keyed_zone, unsafe, keyed_all, keyed_cell };
+// Indices of the classes of plain_settings().
+enum ClassIndex {
+    idempotent,
+    deduplicated_in_zone,
+    at_most_once,
+    deduplicated_everywhere,
+    deduplicated_in_cell
+};
 
+// Two zones, five classes that differ in their effect, and a latency target of 100 ms.
 inline Settings plain_settings() {
     Settings s;
     s.zones = 2;
@@ -111,11 +124,11 @@
         c.dedup_window = milliseconds(400);
         s.classes.push_back(c);
     };
-    add("safe", Effect::idempotent, Group::all);
-    add("keyed in the zone", Effect::deduplicated, Group::zone);
-    add("unsafe", Effect::at_most_once, Group::all);
-    add("keyed everywhere", Effect::deduplicated, Group::all);
-    add("keyed in the cell", Effect::deduplicated, Group::cell);
+    add("idempotent", Effect::idempotent, Group::all);
+    add("deduplicated in the zone", Effect::deduplicated, Group::zone);
+    add("at most once", Effect::at_most_once, Group::all);
+    add("deduplicated everywhere", Effect::deduplicated, Group::all);
+    add("deduplicated in the cell", Effect::deduplicated, Group::cell);
     s.max_attempts = 4;
     s.may_cancel = true;
     s.cold_share = 0.25;
@@ -125,6 +138,7 @@
     return s;
 }
 
+// A Policy with the clock and the actions of its host.
 class Rig {
 public:
     explicit Rig(Settings settings = plain_settings(), std::uint64_t seed = 1)
@@ -143,14 +157,14 @@
     void list(ListKind kind, const std::vector<UpstreamEntry>& entries) {
         policy->on_list(now, kind, entries);
     }
-    // Upstreams 1..home in this zone, 101..100+away in the other one.
+    // Sends a full list: upstreams 1..home in the own zone and 101..100+away in the other one.
     void fleet(int home, int away = 0) {
         std::vector<UpstreamEntry> entries;
         for (int i = 1; i <= home; ++i) entries.push_back(entry(static_cast<UpstreamId>(i)));
         for (int i = 1; i <= away; ++i) entries.push_back(entry(static_cast<UpstreamId>(100 + i), 1));
         list(ListKind::full, entries);
     }
-    RequestId request(int class_index = safe, Micros left = milliseconds(1000), std::uint64_t key = 0,
+    RequestId request(int class_index = idempotent, Micros left = milliseconds(1000), std::uint64_t key = 0,
                       std::optional<int> tenant = {}) {
         Request r;
         r.id = ++last_id;
@@ -172,14 +186,14 @@
         e.report = std::move(report);
         policy->on_attempt_end(now, e);
     }
-    // One request, answered after `latency`.
-    void served(int class_index = safe, Micros latency = milliseconds(10)) {
+    // Sends one request; its response comes after `latency`.
+    void serve(int class_index = idempotent, Micros latency = milliseconds(10)) {
         const RequestId id = request(class_index);
         now += latency;
         if (sink.sends(id) == 1) end(id, 0, Outcome::ok, latency);
     }
-    // Several requests at once: those that were sent.
-    std::vector<RequestId> wave(int class_index, int size, std::optional<int> tenant = {}) {
+    // Sends several requests at once. Returns those that were sent to an upstream.
+    std::vector<RequestId> burst(int class_index, int size, std::optional<int> tenant = {}) {
         std::vector<RequestId> sent;
         for (int i = 0; i < size; ++i) {
             const auto id = request(class_index, milliseconds(1000), 0, tenant);
@@ -187,17 +201,19 @@
         }
         return sent;
     }
-    void answer(const std::vector<RequestId>& sent, Micros latency) {
+    // Ends the first attempts of requests successfully.
+    void complete(const std::vector<RequestId>& sent, Micros latency) {
         for (const auto id : sent) end(id, 0, Outcome::ok, latency);
     }
-    // The same, answered after `latency`: how many were sent.
-    std::size_t served_wave(int class_index, int size, Micros latency) {
-        const auto sent = wave(class_index, size);
+    // Sends several requests at once; their responses come after `latency`. Returns how many were sent to an
+    // upstream.
+    std::size_t serve_burst(int class_index, int size, Micros latency) {
+        const auto sent = burst(class_index, size);
         now += latency;
-        answer(sent, latency);
+        complete(sent, latency);
         return sent.size();
     }
-    // Fires the timers that come due up to `until`, in order of time.
+    // Advances the clock to `until` and fires the timers that come due, in order of time.
     void run(Time until) {
         for (;;) {
             auto due = sink.timers.end();
--- a/tests/standing_terms_test.cpp
+++ b/tests/standing_terms_test.cpp
@@ -462,7 +462,7 @@
 };
 
 struct Load {
-    int class_index = safe;
+    int class_index = idempotent;
     Micros gap{};  // from one request to the next
 };
 
@@ -524,7 +524,7 @@
 void for_all_balancers(const std::function<void(const Settings&, Load, const std::string&)>& check) {
     for (const int balancers : {1, 20, 300}) {
         for (const bool may_probe : {true, false}) {
-            for (const int class_index : {safe, unsafe}) {
+            for (const int class_index : {idempotent, at_most_once}) {
                 for (const Micros gap : {milliseconds(250), milliseconds(20)}) {
                     Settings settings = plain_settings();
                     settings.balancers = balancers;
