--- a/src/policy/list_subscription.h
+++ b/src/policy/list_subscription.h
@@ -1,9 +1,11 @@
-// The subscription to discovery's list: when to call, and until when the list held may be used.
+// The subscription to discovery's list of upstreams: when to call discovery, and for how long the current
+// list may be used.
 //
-// All balancers share one discovery service of fixed capacity. While its queue is full it refuses calls at
-// once, or lets them hang until they time out; while it is down they hang too, or no connection comes up. A
-// change counts as told some time after a subscription has ended, heard or not: from then on any upstream of
-// the list held may drain, and none gets new work.
+// All balancers share one discovery service of fixed capacity. While its queue is full, discovery rejects
+// calls immediately or leaves them unanswered until they time out; while it is down, calls also time out, or
+// no connection is established. By the operators' terms a balancer counts as notified of a change a fixed
+// time after its subscription ended, whether it received the change or not. From then on any upstream of the
+// current list may be draining, and none is sent new work.
 #pragma once
 
 #include "flaxdoor/decide.h"
@@ -11,25 +13,30 @@
 
 namespace flaxdoor {
 
+// Schedules calls to discovery with back-off and spreads those of a fleet over time, so that the fleet does
+// not overload discovery. Has no clock and makes no calls itself.
 class ListSubscription {
 public:
-    // Borrows both; they must outlive it.
+    // Borrows `settings` and `random`; both must outlive the object. `now` is the start of the process.
     ListSubscription(const Settings& settings, util::Random& random, Time now);
 
-    // When discovery is to be called next. A call is made only then, by call_due().
+    // Returns the time of the next call to discovery. Calls are made only at that time, through call_due().
     Time next_call() const { return next_call_; }
 
-    // `next_call()` has come. Returns whether to call: not while subscribed.
+    // Must be called at `next_call()`. Returns false while subscribed; otherwise records that a call starts
+    // now and returns true.
     bool call_due(Time now);
 
-    // Discovery has answered or told a change; the list held is the newest.
+    // Records that discovery has sent a full list or a change, so that the current list is up to date.
     void on_answer(Time now);
 
-    // The call or the subscription is over; `kind` is failed, closed, unreachable, silent or moved.
+    // Records that the pending call has failed or the subscription has ended. `kind` is failed, closed,
+    // unreachable, silent or moved.
     void on_end(Time now, ListKind kind);
 
-    // The latest time at which what is decided on now may still be sent to an upstream of the list held: a
-    // drain that is told the next moment leaves it the grace. Not after `now` while the list is too old.
+    // Returns the latest time at which an attempt decided on at `now` may still be sent to an upstream of the
+    // current list: even a drain that is notified right after `now` leaves the drain grace. Returns a time
+    // not after `now` once the list is too old to be used.
     Time send_by(Time now) const;
 
 private:
@@ -47,20 +54,21 @@
 
     const Settings& settings_;
     util::Random& random_;
-    const Micros margin_;  // the list is used for so long after what is missed counts as told
+    const Micros margin_;  // time for which the list stays usable after a missed change counts as notified
     bool subscribed_ = false;
-    bool confirmed_ = false;     // discovery has answered this process
-    bool up_when_lost_ = false;  // discovery was up as the last subscription ended
-    bool refuses_ = false;       // discovery has refused a call of this process at once
-    double slot_ = 0;            // this balancer's place in the order of the fleet's calls, 0 to 1
-    int hung_calls_ = 0;         // since then, those that hung or got no connection
-    Time lost_at_{};             // when it ended, or when discovery was last known to be down
-    Time called_at_{};
-    Time recovered_at_{};  // the call that ended an outage, where others waited too
+    bool confirmed_ = false;     // discovery has sent a list to this process
+    bool up_when_lost_ = false;  // discovery was up when the last subscription ended
+    bool refuses_ = false;       // discovery has immediately rejected a call of this process
+    double slot_ = 0;            // position of this balancer in the order of the fleet's calls, 0 to 1
+    int hung_calls_ = 0;   // calls since the last subscription ended that timed out or got no connection
+    Time lost_at_{};       // end of the last subscription, or the last time discovery was known to be down
+    Time called_at_{};     // start of the last call
+    Time recovered_at_{};  // start of the call that ended an outage while discovery was overloaded
     Time next_call_{};
-    Time told_at_ = Time::max();  // when at the latest what is missed since then counts as told
+    // Time at which missed changes count as notified if a failed call has postponed it.
+    Time told_at_ = Time::max();
     Time usable_until_ = Time::max();
-    Micros refused_gap_{};  // the last gap after a call that was refused; 0: there was none
+    Micros refused_gap_{};  // last back-off after a rejected call; 0: none since the last list
 };
 
 }  // namespace flaxdoor
--- a/tests/fleet_discovery_test.cpp
+++ b/tests/fleet_discovery_test.cpp
@@ -1,16 +1,16 @@
-// Many instances of the policy before one modelled discovery service, in simulated time: outages, watches
-// that end instead of telling, silent watches and a move, each with upstreams that begin to drain.
+// Tests a fleet of policy instances with one simulated discovery service, in simulated time: outages, watches
+// that end without sending the change, silent watches and a move, each while upstreams begin to drain.
 //
-// What every run is held to:
-//   drains   no attempt goes out, or may still go out by its `send_by`, later than the grace after the drain
-//            counts as told (ToldRecord says when that is)
-//   news     every instance has heard the newest list within `news_bound`
-//   service  where discovery can serve the whole fleet within a second, no request is turned away
+// Every run is checked for:
+//   drains   no attempt is sent, or may by its `send_by` still be sent, later than the drain grace after the
+//            drain counts as notified (see ToldRecord)
+//   news     every instance receives the newest list within `news_bound`
+//   service  if discovery can serve the whole fleet within a second, no request is refused or failed
 //
-// The suites named Overbooked tell of a collapse: discovery works off calls that have timed out, so that a
-// fleet which calls again too soon is answered never ("95 of 149 calls failed"), and a call that hung was
-// taken for proof of an outage, so that instances sent on their old list for up to 28 s. See
-// docs/incidents/calls-worked-off-in-vain.md; what still fails stands in KNOWN-RED.txt.
+// The suites named Overbooked guard against a congestion collapse. Discovery also processes calls that have
+// timed out, so a fleet that calls again too soon never gets a response (95 of 149 calls failed). Calls that
+// timed out were taken for proof of an outage, so instances sent on their old list for up to 28 s. See
+// docs/incidents/calls-worked-off-in-vain.md. The cases that still fail are listed in KNOWN-RED.txt.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -33,7 +33,7 @@
 protected:
     void service_goes_on(Micros outage = seconds(8));
 
-    // When the instance last heard anything of discovery before `when`.
+    // Returns when the instance last received anything from discovery, up to `when`.
     static Time last_heard(const ModelledInstance& instance, Time when) {
         Time last{};
         for (const auto& each : instance.heard()) {
@@ -45,11 +45,12 @@
 
 using FleetInALongOutage = FleetInAnOutage;
 
-// Guards against a list that goes out of use between calls, for as long as their gaps don't grow.
+// Guards against a list that expires between two calls while the back-off does not grow yet.
 TEST_P(FleetInALongOutage, ServiceGoesOnForThreeMinutes) { service_goes_on(std::chrono::minutes(3)); }
 
-// Guards against a pause that begins before what is missed counts as told, or outlasts the next call. There
-// has to be one: gaps grow so that a crowd of the fleet's own calls ends (see TwoWorlds).
+// Guards against an interruption of service that begins before missed changes count as notified, or outlasts
+// the next call. An interruption cannot be avoided: the back-off has to grow, because an overload by the
+// fleet's own calls would never end otherwise (see TwoWorlds).
 TEST_P(FleetInALongOutage, ServicePausesOnlyFromToldTimeToTheEndOfTheNextCall) {
     constexpr Micros call_timeout = DiscoverySettings{}.call_timeout;
     const Micros longest_gap = FleetSettings{}.ask_within;
@@ -71,16 +72,17 @@
     }
     const Micros pause = fleet->longest_pause(began);
     RecordProperty("longest_pause_ms", static_cast<int>(pause / milliseconds(1)));
-    RecordProperty("turned_away", static_cast<int>(fleet->turned_away()));
+    RecordProperty("unserved_requests", static_cast<int>(fleet->turned_away()));
     const Micros most_pause = longest_gap + 2 * call_timeout - ToldTerms{}.at_most;
     EXPECT_LE(pause / milliseconds(1), most_pause / milliseconds(1));
 }
 
-// The protocol page allows both: calls to a discovery that is down end with 503, at once or later.
+// The protocol allows both: calls to a discovery that is down fail with status 503 immediately or later.
 TEST_P(FleetInAnOutage, ServiceGoesOn) { service_goes_on(); }
 
-// Guards against a pause that begins before what is missed counts as told, or goes on once a round of calls
-// could be answered. There has to be one: a crowded discovery refuses at once too (see TwoWorlds).
+// Guards against an interruption of service that begins before missed changes count as notified, or lasts
+// longer than a round of calls after the recovery. An interruption cannot be avoided: an overloaded discovery
+// also rejects calls immediately (see TwoWorlds).
 TEST_P(FleetInAnOutage, ServicePausesOnlyFromToldTimeToAnAnswerWhereCallsAreRefused) {
     while_down = CallWhileDown::is_refused_at_once;
     start(false);
@@ -114,19 +116,19 @@
     discovery->go_down();
     clock.run_for(outage);
     discovery->come_back();
-    // What might have changed meanwhile counts as told by then, and every instance has heard that nothing
-    // has.
+    // By then, changes made during the outage would count as notified, and every instance has received a list
+    // without changes.
     clock.run_for(std::max<Micros>(ToldTerms{}.at_most, news_bound()) + seconds(3));
     const Micros pause = fleet->longest_pause(began);
     RecordProperty("longest_pause_ms", static_cast<int>(pause / milliseconds(1)));
-    RecordProperty("turned_away", static_cast<int>(fleet->turned_away()));
+    RecordProperty("unserved_requests", static_cast<int>(fleet->turned_away()));
     EXPECT_LE(pause / milliseconds(1), most_pause / milliseconds(1));
 }
 
-// ------------------------------------------------------------------ an outage, or a crowd, that refuses
-// calls
+// ------------------------------------------------------------------------ outage compared with overload
 
-// A fleet that lost discovery, which refuses calls at once while it is down and while its queue is full.
+// A fleet whose discovery goes down for `outage`, then drains upstreams. Discovery rejects calls immediately
+// while it is down and while its queue is full, and needs `serve_all` for one call of each instance.
 struct RefusedFleet {
     static constexpr Micros grace = milliseconds(500);
 
@@ -157,16 +159,17 @@
     Time down{};
 };
 
-// How long after the loss two instances have heard the same.
+// Returns for how long after `lost` two instances receive the same from discovery at the same times.
 Micros same_for(const ModelledInstance& one, const ModelledInstance& other, Time lost) {
     const auto [a, b] = std::ranges::mismatch(one.heard(), other.heard());
     if (a == one.heard().end() || b == other.heard().end()) return Micros::max();
     return std::min(a->at, b->at) - lost;
 }
 
-// Shows why service may pause in an outage that refuses calls: an instance hears the same from a discovery
-// that came back at once, refuses its calls as its queue is full, and told of a drain. How long that may go
-// on is a round of calls and a gap; from 6 s a round on, longer than the drain takes to count as told.
+// Shows why service may be interrupted in an outage in which calls are rejected. A discovery that recovered
+// at once, rejects calls because its queue is full and drains upstreams sends an instance the same responses.
+// That lasts for up to a round of calls and a back-off. If a round takes longer than 6 s, that is longer than
+// the drain takes to count as notified.
 TEST(TwoWorlds, AnOutageAndACrowdThatRefuseLookTheSameForARoundOfCalls) {
     constexpr Micros outage = seconds(30), blink = milliseconds(10);
     for (const Micros serve_all : {seconds(1), seconds(5), seconds(12), seconds(20)}) {
@@ -183,17 +186,18 @@
             beyond_grace += crowded.down + same > told + RefusedFleet::grace;
         }
         const auto round_s = std::to_string(serve_all / seconds(1));
-        RecordProperty("same_for_ms_at_" + round_s + "_s_a_round",
+        RecordProperty("indistinguishable_for_ms_at_" + round_s + "_s_a_round",
                        static_cast<int>(longest / milliseconds(1)));
-        RecordProperty("unable_to_tell_at_" + round_s + "_s_a_round", beyond_grace);
+        RecordProperty("indistinguishable_beyond_grace_at_" + round_s + "_s_a_round", beyond_grace);
         EXPECT_LE(longest, blink + serve_all + call_gaps) << round_s;
         EXPECT_EQ(beyond_grace > 0, serve_all > ToldTerms{}.at_most) << round_s;
         EXPECT_TRUE(crowded.fleet->drain_breaches(slack).empty()) << round_s;
     }
 }
 
-// A fleet that lost discovery by a reset, in which calls hang until they fail, and which came back after
-// `outage` and told of a drain, working off calls that had timed out.
+// A fleet whose discovery goes down for `outage`, which resets all watches and lets calls time out, then
+// drains upstreams. Discovery also processes calls that have timed out, and needs `serve_all` for one call of
+// each instance. The run ends at `until` after the start of the outage.
 struct HungFleet {
     static constexpr Micros grace = milliseconds(500);
 
@@ -224,13 +228,14 @@
     Time down{};
 };
 
-// Shows why the gaps between calls have to grow in a long outage, though service pauses between them. Where a
-// round takes longer than the time from call to call of a list in use, a discovery that came back at once,
-// crowded by the fleet's own calls, goes on answering none of some instances. They hear the same as in an
-// outage, for minutes, and the drain that they have missed counts as told after 6 s.
+// Shows why the back-off has to grow in a long outage, although service is interrupted between calls. If a
+// round of calls takes longer than the time between two calls that keep the list usable, a discovery that
+// recovered at once and is overloaded by the fleet's own calls never responds to some instances. They receive
+// the same as in an outage, for minutes, while the drain that they have missed counts as notified after 6 s.
 TEST(TwoWorlds, AnOutageAndACrowdThatHangsLookTheSameWhereARoundTakesLongerThanACycleOfCalls) {
     constexpr Micros until = std::chrono::minutes(10), blink = milliseconds(10);
-    // The list may be used for so long after a call began, of which the next one hangs for its time-out.
+    // A call that times out keeps the list usable for 6 s and the grace after its start; the next call has to
+    // start early enough to time out within that.
     const Micros cycle = ToldTerms{}.at_most + HungFleet::grace - DiscoverySettings{}.call_timeout;
     const HungFleet down(seconds(1), until, until);
     for (const Micros serve_all : {seconds(1), seconds(4), seconds(5), seconds(8), seconds(20)}) {
@@ -247,16 +252,16 @@
             beyond_grace += crowded.down + same > told + HungFleet::grace;
         }
         const auto round_s = std::to_string(serve_all / seconds(1));
-        RecordProperty("same_for_ms_at_" + round_s + "_s_a_round",
+        RecordProperty("indistinguishable_for_ms_at_" + round_s + "_s_a_round",
                        static_cast<int>(longest / milliseconds(1)));
-        RecordProperty("unable_to_tell_at_" + round_s + "_s_a_round", beyond_grace);
+        RecordProperty("indistinguishable_beyond_grace_at_" + round_s + "_s_a_round", beyond_grace);
         EXPECT_EQ(beyond_grace > 0, serve_all > cycle) << round_s;
     }
 }
 
-// The rule on drains in that crowd. Where a round takes longer than a cycle of calls, it is broken for as
-// long as the crowd goes on: calls that hang after a reset are taken for proof of an outage, see
-// KNOWN-RED.txt.
+// Checks the rule on drains in the overload described above. If a round takes longer than the time between
+// two calls, the rule is broken for as long as the overload lasts, because calls that time out after a reset
+// are taken for proof of an outage; see KNOWN-RED.txt.
 class CrowdAfterAReset : public testing::TestWithParam<int> {};
 
 TEST_P(CrowdAfterAReset, BreaksNoDrain) {
@@ -270,10 +275,10 @@
 INSTANTIATE_TEST_SUITE_P(ShortRounds, CrowdAfterAReset, testing::Values(1, 2, 3, 4));
 INSTANTIATE_TEST_SUITE_P(LongRounds, CrowdAfterAReset, testing::Values(5, 6, 8, 12, 20));
 
-// Harder than one event of a steady discovery.
+// Cases with several failures, or with a change of discovery's capacity.
 class FleetInLongTrouble : public FleetBeforeDiscovery {};
 
-// Discovery needs three times as long for each call from the middle of a round on.
+// Discovery takes three times as long for each call from the middle of a round on.
 TEST_P(FleetInLongTrouble, DiscoverySlowsToAThirdInARecovery) {
     constexpr int slower = 3;
     start(true);
@@ -286,7 +291,7 @@
     judge(clock.now());
 }
 
-// What was drained in the outage counts as told only after it; more is drained soon after the return.
+// Drains made during the outage count as notified only after it; others follow soon after the recovery.
 TEST_P(FleetInLongTrouble, AnOutageOfMinutesThenUpstreamsDrain) {
     start(true);
     ASSERT_NO_FATAL_FAILURE(settle());
@@ -300,7 +305,7 @@
     judge(clock.now());
 }
 
-// Silent watches are noticed while calls after a move are still under way.
+// The silence of watches is detected while calls after a move are still pending.
 TEST_P(FleetInLongTrouble, WatchesFallSilentInAMove) {
     constexpr Micros span = seconds(3);
     start(false);
@@ -313,9 +318,9 @@
     judge(silent + watch_silence);
 }
 
-// Discovery that works off calls which nobody waits for any more, and of which one round of calls takes
-// longer than their time-out, answers the rounds that follow only behind such calls. These cases have suites
-// of their own, named Overbooked.
+// Returns whether discovery processes calls that have timed out and needs longer for a round of calls than
+// their time-out. Such a discovery responds to later rounds only after it has processed the calls that timed
+// out. These cases have separate suites, named Overbooked.
 bool overbooked(Overload overload, Micros serve_all) {
     return overload == Overload::work_off && serve_all > DiscoverySettings{}.call_timeout;
 }
@@ -341,7 +346,8 @@
     return all;
 }
 
-// A fleet as large as the operators' gate has, before discoveries that serve all in 1 s and 5 s.
+// Returns cases of a fleet as large as in the operators' acceptance run, with discoveries that serve all
+// instances in 1 s and 5 s.
 std::vector<Case> largest_fleet(Discoveries discoveries) {
     constexpr int most_instances = 900;
     const Case scarce{most_instances, milliseconds(500), seconds(5), Overload::work_off, 1};
@@ -357,7 +363,7 @@
 INSTANTIATE_TEST_SUITE_P(Ample, FleetBeforeDiscovery,
                          testing::ValuesIn(cases({seconds(1), seconds(5)}, 2, Discoveries::ample)),
                          param_name);
-// Discovery needs longer for one call of each than what counts as told at the latest.
+// Discovery needs longer for one call of each instance than the 6 s after which changes count as notified.
 INSTANTIATE_TEST_SUITE_P(Scarce, FleetBeforeDiscovery,
                          testing::ValuesIn(cases({seconds(12)}, 1, Discoveries::ample)), param_name);
 INSTANTIATE_TEST_SUITE_P(Ample, FleetInAnOutage,
--- a/tests/fleet_fixture.h
+++ b/tests/fleet_fixture.h
@@ -1,5 +1,5 @@
-// The fleet before a modelled discovery that the tests of whole fleets share: its cases, the events that have
-// all instances call, and what every run is held to.
+// The fixture that the fleet tests share: a fleet of instances with a simulated discovery, the parameters of
+// the cases, the events that make all instances call discovery, and the checks that every run has to pass.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -19,11 +19,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
+// Tolerance of the checks on drains.
 inline constexpr Micros slack = milliseconds(50);
-// Instances call one after another at the start, over 5 s at most; by then all of them watch.
+// Instances call one after another at the start, over 5 s at most, so that all of them watch by then.
 inline constexpr Micros settling = seconds(6);
 inline constexpr double settling_calls_per_s = 100'000;
-// Beyond one call for each instance and its time-out: gaps between calls.
+// Allowance for the back-off between calls, in addition to one call for each instance and its time-out.
 inline constexpr Micros call_gaps = seconds(2);
 
 struct Case {
@@ -62,7 +63,7 @@
         began = clock.now();
     }
 
-    // Has all instances watch before discovery gets the capacity of the case.
+    // Runs until all instances watch, then gives discovery the capacity of the case.
     void settle() {
         clock.run_for(settling);
         ASSERT_TRUE(discovery->all_watching());
@@ -73,7 +74,7 @@
         return GetParam().instances / duration_cast<duration<double>>(GetParam().serve_all).count();
     }
 
-    // A sixth of the upstreams, other ones each time, of both zones.
+    // Drains a sixth of the upstreams, different ones each time, of both zones.
     void drain_some() {
         const std::size_t count = discovery->upstreams().size() / 6;
         std::vector<UpstreamId> ids;
@@ -81,20 +82,22 @@
         discovery->drain(ids);
     }
 
-    // Small shifts of the times of events, one for each seed.
+    // Returns a small offset for the times of events, a different one for each seed.
     Micros shift() const { return milliseconds(130) * static_cast<Micros::rep>(GetParam().seed); }
 
-    // From the last event that has instances call, to the newest list at all of them. Where calls that have
-    // timed out are worked off all the same, one round of calls may be worked off in vain.
+    // Returns the longest time allowed from the last event that makes instances call until all of them have
+    // the newest list. A discovery that processes calls that have timed out may spend one round on such
+    // calls.
     virtual Micros news_bound() const {
         const int rounds = GetParam().overload == Overload::work_off ? 2 : 1;
         return rounds * slowed * GetParam().serve_all + DiscoverySettings{}.call_timeout + call_gaps;
     }
 
-    // From the return of discovery to an answer for every instance: a round of calls, and the gap before it.
+    // Returns the longest time allowed from the recovery of discovery until every instance has a response: a
+    // round of calls and the back-off before it.
     Micros service_bound() const { return GetParam().serve_all + call_gaps; }
 
-    // Discovery is down as the instances start; upstreams drain soon after its return.
+    // Discovery is down when the instances start; upstreams begin to drain soon after it recovers.
     void down_at_the_start() {
         start(true, false);
         clock.run_until(began + seconds(6));
@@ -106,7 +109,7 @@
         judge(clock.now());
     }
 
-    // Watches end twice, a second apart, instead of telling that upstreams drain.
+    // Two drains a second apart each end all watches and are not sent on them.
     void watches_end_twice() {
         start(true);
         ASSERT_NO_FATAL_FAILURE(settle());
@@ -116,7 +119,8 @@
         judge(clock.now());
     }
 
-    // Instances hear of the move one after another; upstreams drain meanwhile and after it.
+    // Instances learn of the new address one after another; upstreams begin to drain during and after the
+    // move.
     void moves() {
         constexpr Micros span = seconds(3);
         start(false);
@@ -139,10 +143,10 @@
         drain_some();
         clock.run_for(seconds(1));
         drain_some();
-        judge(silent + watch_silence);  // hosts have noticed it by then
+        judge(silent + watch_silence);  // hosts have detected the silence by then
     }
 
-    // Runs on till every list should be there and every grace over, and judges the whole run.
+    // Runs until every list should have arrived and every drain grace has passed, then checks the whole run.
     void judge(Time last_event) {
         const Micros told_and_over = ToldTerms{}.at_most + GetParam().drain_grace + seconds(1);
         clock.run_until(std::max(clock.now() + told_and_over, last_event + news_bound()));
@@ -175,15 +179,17 @@
 
     void judge_news(Time last_event) {
         const auto heard = discovery->newest_heard_by_all_at();
-        RecordProperty("news_ms", heard ? static_cast<int>((*heard - last_event) / milliseconds(1)) : -1);
+        RecordProperty("newest_list_delay_ms",
+                       heard ? static_cast<int>((*heard - last_event) / milliseconds(1)) : -1);
         RecordProperty("calls_failed", static_cast<int>(discovery->calls_failed()));
-        ASSERT_TRUE(heard) << "some have not heard it; " << discovery->calls_failed() << " of "
-                           << discovery->calls_made() << " calls failed";
+        ASSERT_TRUE(heard) << "some instances have not received the newest list; "
+                           << discovery->calls_failed() << " of " << discovery->calls_made()
+                           << " calls failed";
         EXPECT_LE((*heard - last_event) / milliseconds(1), news_bound() / milliseconds(1));
     }
 
     void judge_service() {
-        RecordProperty("turned_away", static_cast<int>(fleet->turned_away()));
+        RecordProperty("unserved_requests", static_cast<int>(fleet->turned_away()));
         RecordProperty("longest_pause_ms", static_cast<int>(fleet->longest_pause(began) / milliseconds(1)));
         if (slowed * GetParam().serve_all > seconds(1)) return;
         EXPECT_EQ(fleet->turned_away(), 0u)
@@ -196,7 +202,7 @@
     Time began{};
     UpstreamId last_drained = 0;
     CallWhileDown while_down = CallWhileDown::hangs;
-    int slowed = 1;  // times as long as the case says, for a round of calls
+    int slowed = 1;  // factor by which a round of calls takes longer than the case says
 };
 
 inline std::string param_name(const testing::TestParamInfo<Case>& info) { return name_of(info.param); }
--- a/tests/fleet_restart_test.cpp
+++ b/tests/fleet_restart_test.cpp
@@ -1,8 +1,8 @@
-// Most of a fleet is restarted at once, while upstreams are taken out of service: what the new processes send
-// before discovery has told them so.
+// Tests a restart of most of a fleet while upstreams begin to drain: what the new processes send before they
+// have received the drains from discovery.
 //
-// A new process starts with the list as the one before it last had it. What is listed while none runs counts
-// as told 6 s after discovery had it, however short a time the new process has run by then.
+// A new process starts with the last list of the process that it replaces. A change made while no process
+// runs counts as notified 6 s after discovery had it, however short a time the new process has run by then.
 #include <gtest/gtest.h>
 
 #include <ostream>
@@ -19,7 +19,7 @@
     Micros serve_all;  // time in which discovery answers one call of each instance of the fleet
     Micros drain_grace;
     Overload overload;
-    Micros downtime;  // from the drains, made as the old processes have ended, to the start of the new ones
+    Micros downtime;  // from the drains, made when the old processes ended, to the start of the new ones
 };
 
 std::string name_of(const RestartCase& c) {
@@ -33,7 +33,7 @@
 
 class FleetRestart : public testing::TestWithParam<RestartCase> {
 protected:
-    // Seven in ten, spread evenly over the ranks.
+    // Returns seven in ten of the ranks, evenly spaced.
     std::vector<int> restarted() const {
         std::vector<int> ranks;
         for (int rank = 0; rank < GetParam().instances; ++rank) {
@@ -43,9 +43,9 @@
     }
 };
 
-// Guards against sends to upstreams that began to drain while no process ran here: the 6 s were counted from
-// the start of the new one, and the fleet's first calls came so close together that the last were not
-// answered.
+// Guards against sends to upstreams that began to drain while no process of the balancer ran. This happens if
+// the 6 s are counted from the start of the new process, and if the fleet's first calls come so close
+// together that the last of them get no response.
 TEST_P(FleetRestart, BreaksNoDrainListedWhileNoProcessRan) {
     const RestartCase& c = GetParam();
     SimulatedClock clock;
@@ -72,17 +72,17 @@
                                   << " of " << discovery.calls_made() << " calls failed";
 }
 
-// Before a discovery this slow, seven in ten calls take 5.6 s.
+// Returns whether discovery is so slow that the calls of seven in ten instances take 5.6 s or longer.
 bool slow(const RestartCase& c) { return c.serve_all >= seconds(8); }
 
-// One call of 12 instances takes 0.67 s, so that some wait for longer than the time-out, and take that for an
-// outage.
+// Returns whether calls time out. With 12 instances one call takes 0.67 s, so some wait longer than the
+// time-out and their instances take that for an outage.
 bool calls_hang(const RestartCase& c) {
     return slow(c) && c.instances == 12 && c.overload == Overload::work_off;
 }
 
-// The last instances hear of the drains only after they count as told, and use the list till then. Of 12 the
-// last one has called a little sooner.
+// Returns whether the last instances receive the drains only after these count as notified and the grace has
+// passed, so that they use the old list for too long. Of 12 instances the last one calls a little sooner.
 bool heard_too_late(const RestartCase& c) {
     const Micros downtime_from = c.instances == 12 ? milliseconds(1500) : milliseconds(1000);
     return slow(c) && !calls_hang(c) && c.drain_grace < seconds(1) && c.downtime >= downtime_from;
--- a/tests/fleet_rounds_test.cpp
+++ b/tests/fleet_rounds_test.cpp
@@ -1,8 +1,9 @@
-// How many rounds of calls a fleet needs until all of it has heard the newest list, where discovery works off
-// calls that have timed out and a round (one call of each instance) takes longer than a call may wait.
+// Tests how many rounds of calls a fleet needs until all instances have the newest list, if discovery
+// processes calls that have timed out and a round (one call of each instance) takes longer than a call's
+// time-out.
 //
-// No call tells how long a round is, so that the fleet calls in rounds that come at times fixed beforehand,
-// for rounds of 1 to 20 s. How the bounds follow from these times is worked out in docs/CAPACITY.md.
+// No response reveals how long a round takes, so the fleet calls in rounds at fixed times, which suit rounds
+// of 1 to 20 s. docs/CAPACITY.md derives the bounds from these times.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -12,15 +13,15 @@
 namespace flaxdoor::test {
 namespace {
 
-// Where all instances lose their watches at about the same time and call in the order of their ranks.
+// Applies if all instances lose their watches at about the same time and call in the order of their ranks.
 constexpr int rounds_till_news = 6;
-// Silence is noticed up to 2 s apart, so that a small fleet may need one more.
+// Instances detect silence up to 2 s apart, so a small fleet may need one round more.
 constexpr int rounds_after_silence = 7;
 
-// Where instances start while discovery is down. They can't tell the crowd after its return from the outage,
-// and their gaps grow by a quarter of the time that has passed.
+// Applies if instances start while discovery is down. They cannot distinguish the overload after its recovery
+// from the outage, and their back-off grows to a quarter of the time that has passed.
 int rounds_after_a_start(Micros serve_all) {
-    if (serve_all <= seconds(3)) return 2;  // each calls once in 4.35 s: there is no crowd
+    if (serve_all <= seconds(3)) return 2;  // each calls once in 4.35 s, which is no overload
     if (serve_all <= seconds(8)) return 10;
     return serve_all <= seconds(13) ? 16 : 20;
 }
@@ -48,8 +49,8 @@
     watches_fall_silent();
 }
 
-// Of 350 instances one grace: slow to run. Of 12 several seeds: there a call takes nearly as long as it may
-// wait.
+// Returns the cases. Those of 350 instances have one grace only, because they are slow to run; those of 12
+// have several seeds, because there one call takes nearly as long as its time-out.
 std::vector<Case> round_cases() {
     constexpr std::uint64_t seeds_of_few = 5;
     std::vector<Case> all;
--- a/tests/list_subscription_test.cpp
+++ b/tests/list_subscription_test.cpp
@@ -1,4 +1,4 @@
-// When the module calls discovery, and what it sends while the list held may be out of date.
+// Tests when the policy calls discovery, and what it sends while its list may be out of date.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,7 +20,7 @@
         s.rank = rank;
         Rig rig(s);
         rig.list(ListKind::cached, {Rig::entry(1)});
-        ASSERT_EQ(rig.sink.timers.size(), 2u);  // the first beat, and the call
+        ASSERT_EQ(rig.sink.timers.size(), 2u);  // the stall-detection timer, and the call
         if (rank > 0) {
             EXPECT_GT(rig.sink.timers[1].first, last);
         }
@@ -30,8 +30,9 @@
     }
 }
 
-// A change counts as told 6 s after discovery had it and could be reached, however many calls have failed:
-// the host gives one up after 3 s, and what is left is for the next.
+// A change counts as notified 6 s after discovery had it and could be reached, however many calls have
+// failed. The host gives a call up after 3 s, so the back-off has to leave the rest of the 6 s for another
+// call.
 TEST(TheList, UnansweredCallsAreRepeatedWithGrowingGapsInTime) {
     Settings s = plain_settings();
     s.must_ask_list = true;
@@ -42,13 +43,13 @@
     std::vector<Time> asked;
     for (int i = 0; i < 40; ++i) {
         const int before = rig.sink.watches;
-        rig.run(rig.now + ms(i % 2 == 0 ? 150 : 2000));  // it has waited its turn
+        rig.run(rig.now + ms(i % 2 == 0 ? 150 : 2000));  // time for which the call was pending
         constexpr ListKind ends[] = {ListKind::failed, ListKind::unreachable, ListKind::silent};
         rig.list(ends[i % 3], {});
         const Time failed = rig.now;
         while (rig.sink.watches == before) rig.run(rig.now + ms(50));
         asked.push_back(rig.now - failed);
-        EXPECT_LE(asked.back(), ms(2550));  // seen every 50 ms
+        EXPECT_LE(asked.back(), ms(2550));  // the test polls every 50 ms
         EXPECT_GE(asked.back(), i == 0 ? ms(400) : ms(950));
     }
     rig.list(ListKind::full, {Rig::entry(1)});  // subscribed: no further calls
@@ -57,8 +58,8 @@
     EXPECT_EQ(rig.sink.watches, before);
 }
 
-// A call that is refused at once finds discovery's queue full: the next ones come soon, with growing gaps, so
-// that one of them is there as the queue has room.
+// A call that is rejected immediately found discovery's queue full. Further calls follow soon, with
+// exponential back-off, so that one of them arrives when the queue has room.
 TEST(TheList, RefusedCallsAreRepeatedSoonWithGrowingGaps) {
     Settings s = plain_settings();
     s.must_ask_list = true;
@@ -79,10 +80,11 @@
     }
 }
 
-// Guards against a list that is used for too long on the word of a call that hung: what it proves counts from
-// its own beginning, also where it was out for longer than `ask_within`, and no other is made meanwhile.
+// Guards against a list that stays in use for too long after a call timed out. A time-out proves only that
+// discovery could not be reached when the call started, even if the call was pending for longer than
+// `ask_within`. No second call is made while one is pending.
 TEST(TheList, ACallThatIsOutForLongProvesNothingBeyondItsBeginning) {
-    const Micros call_limit = ms(4250);  // of the host
+    const Micros call_limit = ms(4250);  // after which the host gives a call up
     Settings s = plain_settings();
     s.must_ask_list = true;
     s.ask_within = std::chrono::seconds(2);
@@ -102,9 +104,9 @@
     EXPECT_EQ(rig.sink.sends(rig.request(unsafe)), 0u);
 }
 
-// What a watch that ended did not tell counts as told 2 s later. The first call comes so early that it may
-// wait for those 2 s; without an answer nothing is sent from the end of the grace on, until the list is
-// there.
+// Changes missed because a watch ended count as notified 2 s later. The first call is made so early that it
+// may wait for those 2 s. Without a response, nothing is sent from the end of the drain grace until the list
+// arrives.
 TEST(TheList, AfterAWatchHasEndedNothingIsSentOnAListThatIsTooOld) {
     Settings s = plain_settings();
     s.must_ask_list = true;
@@ -123,7 +125,7 @@
     rig.run(ended + ms(2300));
     const RequestId in_time = rig.request();
     ASSERT_EQ(rig.sink.sends(in_time), 1u);
-    EXPECT_LE(rig.sink.submits.back().send_by, ended + ms(2500));  // its connection may come up late
+    EXPECT_LE(rig.sink.submits.back().send_by, ended + ms(2500));  // its connection may be established late
     rig.end(in_time, 0, Outcome::ok);
     rig.run(ended + ms(2500));
     const RequestId late = rig.request(unsafe);
@@ -132,7 +134,8 @@
     EXPECT_EQ(rig.sink.sends(rig.request(unsafe)), 1u);
 }
 
-// Discovery that can't be reached has told nothing: work goes on on the old list.
+// Discovery that cannot be reached has notified nobody of changes, so requests are still sent on the old
+// list.
 TEST(TheList, WhileDiscoveryCanNotBeReachedTheOldListIsUsed) {
     Settings s = plain_settings();
     s.must_ask_list = true;
@@ -153,8 +156,8 @@
     }
 }
 
-// Guards against calls of a whole fleet in one second: more than discovery works off before they have waited
-// too long. They start together, and later one event ends all watches.
+// Guards against a thundering herd: if a whole fleet calls within one second, discovery cannot process the
+// calls before they time out. All instances start together, and later one event ends all watches.
 TEST(TheList, TheCallsOfManyBalancersAreSpreadInTime) {
     Settings s = plain_settings();
     s.must_ask_list = true;
@@ -176,7 +179,7 @@
         rig.list(ListKind::failed, {});
         repeats.push_back(asked_after(ended, 2));
     }
-    // The repeats have to be there by the time that what they miss counts as told.
+    // The repeated calls have to arrive before the changes missed count as notified.
     for (auto [calls, last, apart] :
          {std::tuple{&starts, ms(5000), ms(1000)}, {&repeats, ms(2500), ms(400)}}) {
         std::sort(calls->begin(), calls->end());
@@ -187,8 +190,8 @@
     }
 }
 
-// What a silent watch misses counts as told 6 s after its last word, of which 3 s have passed when it is
-// noticed; the calls of a fleet are spread over what is left.
+// Changes missed by a silent watch count as notified 6 s after its last message. 3 s of these have passed
+// when the silence is detected; the calls of a fleet are spread over the remaining time.
 TEST(TheList, AWatchThatFellSilentIsAskedForAnewBeforeItsNewsCountAsTold) {
     for (const int balancers : {1, 300}) {
         Settings s = plain_settings();
@@ -207,7 +210,7 @@
             while (rig.sink.watches == before && rig.now < silent + ms(3000)) rig.run(rig.now + ms(10));
             gaps.push_back(rig.now - silent);
             rig.list(ListKind::silent,
-                     {});  // again, with no news between: the gaps grow as after failed calls
+                     {});  // again, with no list between: the back-off grows as after failed calls
             rig.run(rig.now + ms(900));
             EXPECT_EQ(rig.sink.watches, before + 1);
         }
@@ -217,10 +220,9 @@
     }
 }
 
-// ----------------------------------------------------------------- calls that hang: in a crowd or an outage
+// ------------------------------------------------ calls that time out: overload or outage of discovery
 
-constexpr Micros hang =
-    std::chrono::seconds(2);  // after which discovery ends a call that has waited too long
+constexpr Micros hang = std::chrono::seconds(2);  // time after which discovery fails a queued call
 
 Settings asking_settings() {
     Settings s = plain_settings();
@@ -232,7 +234,7 @@
     return s;
 }
 
-// A balancer whose watch stands.
+// A balancer with an established watch.
 class Watching : public Rig {
 public:
     explicit Watching(const Settings& settings = asking_settings()) : Rig(settings) {
@@ -241,14 +243,14 @@
         list(ListKind::full, {entry(1)});
     }
 
-    // Runs to the next call. Returns when it was made.
+    // Runs until the next call. Returns the time at which it was made.
     Time run_to_call() {
         const int before = sink.watches;
         while (sink.watches == before) run(now + ms(5));
         return now;
     }
 
-    // The call made last hangs until discovery ends it.
+    // Lets the last call wait until discovery fails it.
     void hang_call() {
         run(now + hang);
         list(ListKind::failed, {});
@@ -262,11 +264,12 @@
     }
 };
 
-// What happens: discovery ends all watches in order and works off calls that have timed out. Each call of the
-// fleet hangs, and calling anew every few seconds fills the queue further, so that some never hear again.
-// Why: a hung call was taken for proof of an outage, and moved on the time for which the list was used.
-// Seen in: "95 of 149 calls failed" for 30 instances; trials at the bench, where a watch that is closed in
-// order comes from a discovery that is up, and one that is reset from one that goes down.
+// Guards against a fleet that keeps discovery overloaded and sends on an outdated list. Discovery closes all
+// watches in order and also processes queued calls that have timed out. If every balancer repeats its call
+// every few seconds, the queue grows and some balancers never get a list; with 30 instances, 95 of 149 calls
+// failed. If a call that timed out is taken for proof of an outage, the list stays in use for too long. A
+// watch that is closed in order shows that discovery is up, while a reset one may come from a failing
+// discovery.
 TEST(TheList, AfterAnEndInOrderCallsThatHangProveNoOutage) {
     Watching rig;
     const Time ended = rig.now;
@@ -284,7 +287,8 @@
     Watching rig(s);
     const Time ended = rig.now;
     rig.list(ListKind::closed, {});
-    EXPECT_LE(rig.run_to_call() - ended, ms(1800));  // a refusal is there before the end counts as told
+    EXPECT_LE(rig.run_to_call() - ended,
+              ms(1800));  // a rejection arrives before missed changes count as notified
     rig.hang_call();
     Micros passed = rig.run_to_call() - ended;
     EXPECT_GE(passed, s.ask_within / 2);
@@ -299,7 +303,8 @@
     }
 }
 
-// A refusal tells that the crowd has gone or is kept out: waiting on for a round would gain nothing.
+// A rejection shows that discovery's queue is short or bounded, so waiting for the next round would gain
+// nothing.
 TEST(TheList, ARefusalAfterCallsThatHungBringsTheNextCallSoon) {
     Watching rig;
     rig.list(ListKind::closed, {});
@@ -312,7 +317,7 @@
     EXPECT_LE(rig.run_to_call() - refused, ms(200));
 }
 
-// A discovery that refuses what would wait too long lets calls hang only while it is down.
+// A discovery that rejects calls that would wait too long lets calls time out only while it is down.
 TEST(TheList, WhereDiscoveryRefusesCallsThatHangProveAnOutage) {
     Watching rig;
     rig.list(ListKind::closed, {});
@@ -325,7 +330,7 @@
     }
 }
 
-// A watch that is reset may come from a discovery that went down: service goes on while calls hang.
+// A reset watch may come from a discovery that went down, so requests are served while calls time out.
 TEST(TheList, AfterAResetTheListIsUsedWhileCallsHang) {
     Watching rig;
     rig.list(ListKind::failed, {});
@@ -338,7 +343,7 @@
     }
 }
 
-// A fleet that calls every few seconds for minutes may itself be what keeps discovery busy.
+// A fleet that calls every few seconds for minutes may itself be the load that keeps discovery overloaded.
 TEST(TheList, InALongOutageTheGapsGrowUpToTheTimeToAskWithin) {
     const Settings s = asking_settings();
     Watching rig(s);
@@ -358,7 +363,7 @@
     EXPECT_GE(gap, s.ask_within / 2);
 }
 
-// The list that a process starts with may be old: calls that hang let it be used for 12 s, not for longer.
+// The list that a process starts with may be old. Calls that time out extend its use to 12 s and no further.
 TEST(TheList, AListNeverConfirmedIsNotUsedForLongOnTheWordOfCallsThatHang) {
     for (const ListKind kind : {ListKind::failed, ListKind::unreachable}) {
         Rig rig(asking_settings());
@@ -381,7 +386,7 @@
     }
 }
 
-// Calls that hung are repeated apart, or the fleet would be its own crowd as discovery comes back.
+// Calls that timed out are repeated at spaced times, or the fleet would overload discovery on its return.
 TEST(TheList, CallsOfManyBalancersAfterAnOutageAreApart) {
     Settings s = asking_settings();
     s.balancers = 60;
@@ -394,7 +399,7 @@
         calls.push_back(rig.now - reset);
     }
     std::sort(calls.begin(), calls.end());
-    // Discovery that serves all of them in 5 s lets none wait for longer than it may.
+    // A discovery that serves all of them in 5 s must not let any call wait longer than its time-out.
     const Micros service = std::chrono::seconds(5) / s.balancers;
     Time free_at{};
     for (const Time call : calls) {
--- a/tests/modelled_discovery.cpp
+++ b/tests/modelled_discovery.cpp
@@ -1,4 +1,3 @@
-// The model of discovery and of a fleet before it; see the header.
 #include "modelled_discovery.h"
 
 #include <algorithm>
@@ -26,7 +25,7 @@
     now_ = std::max(now_, end);
 }
 
-// ------------------------------------------------------------------------------------------ told changes
+// ------------------------------------------------------------------------------- notification of changes
 
 void ToldRecord::list_delivered(Time now, std::uint64_t version) { deliveries_.push_back({now, version}); }
 
@@ -35,7 +34,7 @@
 }
 
 void ToldRecord::watch_lost(Time now, Cause cause) {
-    watch_began(now);  // a gap that is still open ends where the next one begins
+    watch_began(now);  // a period without a watch that has not ended yet ends where the next one begins
     gaps_.push_back({cause, now, {}, {}});
 }
 
@@ -91,7 +90,7 @@
     return Micros(static_cast<Micros::rep>(1e6 / settings_.calls_per_s));
 }
 
-// An event of what the client has open now; void once it has something else.
+// Schedules an event for the client's present call or watch. The event is ignored once that one has ended.
 void ModelledDiscovery::schedule(int client, Time due, void (ModelledDiscovery::*event)(int)) {
     const std::uint64_t serial = link(client).serial;
     clock_.at(due, [this, client, serial, event] {
@@ -165,7 +164,7 @@
     for (int client = 0; client < static_cast<int>(links_.size()); ++client) {
         Link& each = link(client);
         if (each.state == State::calling) {
-            // It hangs for as long as a call may.
+            // The call stays unanswered until its time-out.
             ++each.serial;
             schedule(client, each.called_at + settings_.call_timeout, &ModelledDiscovery::fail_call);
         } else if (each.state != State::idle) {
@@ -223,7 +222,7 @@
     }
 }
 
-// The gap in the record goes on: it began when the watch fell silent.
+// Does not call watch_lost() again: the period without a watch began when the watch fell silent.
 void ModelledDiscovery::report_silence(int client) {
     Link& watcher = link(client);
     watcher.state = State::idle;
@@ -328,7 +327,7 @@
     policy_ = std::make_unique<Policy>(instance_settings(settings, rank), instance_seed(settings, rank),
                                        clock.now(), *this);
     policy_->on_list(clock.now(), ListKind::cached, known);
-    // The trickles of the instances are out of step, as those of real ones are.
+    // The instances send their requests at different times, as real ones do.
     clock_.after(settings.request_gap * rank / settings.instances, [this] { send_request(); });
 }
 
--- a/tests/modelled_discovery.h
+++ b/tests/modelled_discovery.h
@@ -1,10 +1,10 @@
-// A modelled discovery service and a fleet of Policy instances before it, in simulated time: no sockets, no
-// threads, no real clock. The same settings and seeds always give the same run.
+// Simulates a discovery service and a fleet of Policy instances that use it, in simulated time: no sockets,
+// no threads, no real clock. The same settings and seeds always give the same run.
 //
-//   SimulatedClock      the event queue; everything below schedules on it
-//   ModelledDiscovery   answers watch calls in turn, tells changes, fails in the ways that it is told to
-//   ToldRecord          when a change counts as told to one client, by the operators' terms
-//   ModelledFleet       many Policy instances, each with its timers and a steady trickle of requests
+//   SimulatedClock      the event queue, on which everything below schedules events
+//   ModelledDiscovery   serves watch calls in order, sends changes, and simulates several kinds of failure
+//   ToldRecord          when a change counts as notified to one client, by the operators' terms
+//   ModelledFleet       many Policy instances, each with its timers and a constant low rate of requests
 #pragma once
 
 #include <cstdint>
@@ -21,16 +21,17 @@
 
 // ------------------------------------------------------------------------------------------------- clock
 
-// Simulated time and the events that are due in it. Events of one time run in the order of scheduling.
+// Simulated time and the events scheduled in it. Events due at the same time run in the order of scheduling.
 class SimulatedClock {
 public:
     using Action = std::function<void()>;
 
-    // The time before the first event is not zero: zero stands for "long ago" in the list.
+    // Returns the current time. The clock does not start at zero, which means "long ago" in a list.
     Time now() const { return now_; }
-    void at(Time due, Action action);  // a time that has passed counts as now
+    // Schedules `action`; a `due` in the past counts as now.
+    void at(Time due, Action action);
     void after(Micros delay, Action action) { at(now_ + delay, std::move(action)); }
-    // Runs all events due up to and including `end`, then stands at `end`.
+    // Runs all events due up to and including `end`, then sets the time to `end`.
     void run_until(Time end);
     void run_for(Micros span) { run_until(now_ + span); }
 
@@ -48,32 +49,34 @@
 
     Time now_ = std::chrono::hours(1);
     std::uint64_t last_serial_ = 0;
-    std::vector<Event> events_;  // a heap, the next one first
+    std::vector<Event> events_;  // a heap with the next event first
 };
 
-// ------------------------------------------------------------------------------------------ told changes
+// ------------------------------------------------------------------------------- notification of changes
 
-// An upstream that began to drain.
+// The start of an upstream's drain.
 struct DrainChange {
-    std::uint64_t version = 0;  // of the first list that has it
+    std::uint64_t version = 0;  // first version of the list that contains the drain
     Time made_at{};
-    Time reachable_at{};  // from when on discovery had it and could be reached
+    Time reachable_at{};  // earliest time at which discovery had the change and could be reached
     UpstreamId upstream = 0;
 };
 
-// The spans after which a change counts as told to a client that has not heard of it.
+// Delays after which a change counts as notified to a client that has not received it.
 struct ToldTerms {
-    Micros after_watch_ended =
-        std::chrono::seconds(2);                     // while discovery was up and no call has failed since
-    Micros after_silence = std::chrono::seconds(6);  // from the moment in which the watch fell silent
+    // After a watch has ended while discovery was up, unless a call has failed since.
+    Micros after_watch_ended = std::chrono::seconds(2);
+    Micros after_silence = std::chrono::seconds(6);  // from the moment at which the watch fell silent
     Micros after_move = std::chrono::seconds(4);
-    Micros at_most = std::chrono::seconds(6);  // from when on discovery had it and could be reached
+    // In any case, from the time at which discovery had the change and could be reached.
+    Micros at_most = std::chrono::seconds(6);
 };
 
-// What one client was told, and how it went without a watch: from this follows when a change counts as told.
+// Records which lists one client received and when it had no watch, from which follows when a change counts
+// as notified to it.
 class ToldRecord {
 public:
-    // Why a client has no watch that could tell it anything.
+    // Why a client has no watch on which it could receive changes.
     enum class Cause { never_watched, ended, discovery_down, fell_silent, moved };
 
     explicit ToldRecord(Time start) { gaps_.push_back({Cause::never_watched, start, {}, {}}); }
@@ -83,13 +86,13 @@
     void watch_lost(Time now, Cause cause);
     void call_failed(Time now);
 
-    // When the change was delivered, if it has been.
+    // Returns when a list of this version or a later one was delivered, if one was.
     std::optional<Time> delivered_at(std::uint64_t version) const;
-    // When it counts as told, delivered or not.
+    // Returns when the change counts as notified, whether it was delivered or not.
     Time told_at(const DrainChange& change, const ToldTerms& terms) const;
 
 private:
-    // A span without a watch.
+    // A period without a watch.
     struct Gap {
         Cause cause;
         Time began;
@@ -111,40 +114,42 @@
 
 // What discovery does with a call that would wait longer than the time-out.
 enum class Overload {
-    refuse_at_once,  // it is refused after `refusal_delay` and costs no capacity
-    work_off         // it is queued, fails after the time-out and still takes its turn later
+    refuse_at_once,  // it is rejected after `refusal_delay` and uses no capacity
+    work_off         // it is queued, fails at the time-out and is still processed later
 };
 
-// What becomes of a call while discovery is down: it ends with 503 in either case.
+// When a call made while discovery is down fails; it fails with status 503 in either case.
 enum class CallWhileDown { hangs, is_refused_at_once };
 
 struct DiscoverySettings {
     double calls_per_s = 1000;
     Micros call_timeout = std::chrono::seconds(2);
     Micros refusal_delay = std::chrono::milliseconds(5);
-    Micros word_gap = std::chrono::seconds(2);  // a standing watch hears at least an empty line so often
+    // Interval of the empty keep-alive lines on a watch that has nothing to send.
+    Micros word_gap = std::chrono::seconds(2);
     Overload overload = Overload::refuse_at_once;
     CallWhileDown while_down = CallWhileDown::hangs;
-    bool ends_instead_of_telling = false;  // a change ends the standing watches, unheard
+    bool ends_instead_of_telling = false;  // a change ends all watches and is not sent on them
     ToldTerms terms;
 };
 
-// One balancer as discovery sees it. Called from inside events of the clock.
+// A balancer as discovery sees it. Called from inside events of the clock.
 class DiscoveryClient {
 public:
     virtual ~DiscoveryClient() = default;
     virtual void on_list(ListKind kind, const std::vector<UpstreamEntry>& entries, std::uint64_t version) = 0;
 };
 
-// One discovery service for all clients. It is up at first.
+// Simulates one discovery service for all clients, which is up at first.
 class ModelledDiscovery {
 public:
     ModelledDiscovery(SimulatedClock& clock, const DiscoverySettings& settings,
                       std::vector<UpstreamEntry> upstreams);
 
-    // Clients are numbered from 0 in the order of adding; they must outlive the run.
+    // Returns the client's number, counted from 0 in the order of adding. Borrows `client`, which must
+    // outlive the run.
     int add_client(DiscoveryClient& client);
-    // Nothing happens while a call or a watch of the client is open.
+    // Starts a watch call; does nothing while the client has an open call or watch.
     void call(int client);
     void hang_up(int client);
 
@@ -152,11 +157,11 @@
     void go_down();
     void come_back();
     void drain(const std::vector<UpstreamId>& upstreams);
-    // All standing watches say nothing from now on; their hosts notice it `watch_silence` after the last
-    // word.
+    // Makes all established watches fall silent. Their hosts detect it `watch_silence` after the last
+    // message.
     void silence_watches();
-    // Moves to a new address: the clients hear of it one after another, evenly over `span`. Until then their
-    // watches stand; what they have open then is dropped.
+    // Moves discovery to a new address, of which the clients learn one after another, evenly over `span`.
+    // Their watches work until then; the calls and watches open at that moment are dropped.
     void move(Micros span);
 
     const std::vector<UpstreamEntry>& upstreams() const { return upstreams_; }
@@ -166,7 +171,7 @@
         return record(client).told_at(drain, settings_.terms);
     }
     bool all_watching() const;
-    // The latest time at which a client first heard the newest list; none if some have not.
+    // Returns the time at which the last client first received the newest list; none if a client has not yet.
     std::optional<Time> newest_heard_by_all_at() const;
     std::uint64_t calls_made() const { return calls_made_; }
     std::uint64_t calls_failed() const { return calls_failed_; }
@@ -174,13 +179,13 @@
 private:
     enum class State { idle, calling, watching, silent };
 
-    // What a client has open. A new serial makes the events scheduled for the old one void.
+    // A client's open call or watch. Events scheduled under an earlier serial are ignored.
     struct Link {
         DiscoveryClient* client = nullptr;
         State state = State::idle;
         std::uint64_t serial = 0;
         Time called_at{};
-        Time spoke_at{};  // last object on the watch
+        Time spoke_at{};  // last list or change sent on the watch
         ToldRecord record;
     };
 
@@ -202,7 +207,7 @@
     std::vector<DrainChange> drains_;
     std::uint64_t version_ = 1;
     bool up_ = true;
-    Time free_at_{};  // when the calls queued so far will have been worked off
+    Time free_at_{};  // when the calls queued so far will have been processed
     std::uint64_t calls_made_ = 0;
     std::uint64_t calls_failed_ = 0;
 };
@@ -219,13 +224,13 @@
     std::uint64_t seed = 1;
 };
 
-// Upstreams of two zones, enough that the trickle of requests alone never fills them.
+// Returns upstreams of two zones, enough of them that the fleet's own requests never reach their limits.
 std::vector<UpstreamEntry> upstreams_for(int instances);
 
-// The settings of one Policy of the fleet.
+// Returns the settings of one Policy of the fleet.
 Settings instance_settings(const FleetSettings& fleet, int rank);
 
-// One Policy with its host: keeps its timers, answers its attempts, and writes down what it sends.
+// One Policy with its host: runs its timers, completes its attempts, and records what it sends.
 class ModelledInstance : public Actions, public DiscoveryClient {
 public:
     struct Submit {
@@ -234,11 +239,11 @@
         Time send_by;
     };
 
-    // `known`: the list that it starts with.
+    // `known` is the list that the instance starts with. Borrows `clock` and `discovery`.
     ModelledInstance(SimulatedClock& clock, ModelledDiscovery& discovery, const FleetSettings& settings,
                      int rank, const std::vector<UpstreamEntry>& known);
 
-    // What discovery let it hear, and when.
+    // A list, change or failure received from discovery.
     struct Heard {
         Time at;
         ListKind kind;
@@ -247,8 +252,10 @@
 
     const std::vector<Submit>& submits() const { return submits_; }
     const std::vector<Heard>& heard() const { return heard_; }
-    const std::vector<Time>& turned_away() const { return turned_away_; }  // refused or failed requests
-    // The longest span without a submit from `from` on, up to now.
+    const std::vector<Time>& turned_away() const {
+        return turned_away_;
+    }  // times of refused or failed requests
+    // Returns the longest time without a submit between `from` and now.
     Micros longest_pause(Time from) const;
 
     void on_list(ListKind kind, const std::vector<UpstreamEntry>& entries, std::uint64_t version) override;
@@ -274,42 +281,44 @@
     SimulatedClock& clock_;
     ModelledDiscovery& discovery_;
     const FleetSettings settings_;
-    const int client_;  // its number at discovery
+    const int client_;  // the client number at discovery
     std::unique_ptr<Policy> policy_;
     RequestId last_request_ = 0;
-    std::unordered_map<RequestId, int> attempts_;  // made so far, of the open requests
+    std::unordered_map<RequestId, int> attempts_;  // number of attempts so far, by open request
     std::map<std::pair<RequestId, int>, bool> cancelled_;
     std::vector<Submit> submits_;
     std::vector<Heard> heard_;
     std::vector<Time> turned_away_;
 };
 
-// A submit that breaks the rule on drains.
+// A submit that breaks the rule that no work is sent to a draining upstream after the drain grace.
 struct DrainBreach {
-    // What came too late: the submit itself, or only the time up to which it may still go out.
+    // What was too late: the submit itself, or only the `send_by` up to which it may still be sent.
     enum class Kind { submit, send_by };
     Kind kind;
     int instance;
     UpstreamId upstream;
     Time at;
-    Micros late_by;  // after the change counted as told and the grace was over
+    Micros late_by;  // after the drain grace had passed since the change counted as notified
 };
 
-// Instances spread over the zones in turn. They start together, with one list as cached.
+// A fleet of instances, assigned to the zones in rotation. All start at the same time with the same cached
+// list.
 class ModelledFleet {
 public:
-    // Those of all ranks, with the list as it is.
+    // Starts the instances of all ranks with discovery's present list.
     ModelledFleet(SimulatedClock& clock, ModelledDiscovery& discovery, const FleetSettings& settings);
-    // Those of some ranks, with a list that may be older.
+    // Starts the instances of `ranks` with the list `known`, which may be older than discovery's.
     ModelledFleet(SimulatedClock& clock, ModelledDiscovery& discovery, const FleetSettings& settings,
                   const std::vector<int>& ranks, const std::vector<UpstreamEntry>& known);
 
     const std::vector<std::unique_ptr<ModelledInstance>>& instances() const { return instances_; }
-    // Submits that come, or may go out, later than the grace and `slack` after the drain counts as told.
+    // Returns the submits that are made, or by their `send_by` may still be sent, later than the drain grace
+    // and `slack` after the drain counts as notified.
     std::vector<DrainBreach> drain_breaches(Micros slack) const;
     std::size_t turned_away() const;
     std::size_t submits() const;
-    Micros longest_pause(Time from) const;  // of any one instance
+    Micros longest_pause(Time from) const;  // the longest of any instance
 
 private:
     ModelledDiscovery& discovery_;
--- a/tests/modelled_discovery_test.cpp
+++ b/tests/modelled_discovery_test.cpp
@@ -1,4 +1,5 @@
-// The model of discovery itself: its clock, when a change counts as told, and how it answers and fails.
+// Tests the simulated discovery itself: its clock, when a change counts as notified, and how calls are
+// answered and fail.
 #include "modelled_discovery.h"
 
 #include <gtest/gtest.h>
@@ -61,7 +62,7 @@
     EXPECT_EQ(ToldRecord(start).told_at(made_while_down, terms), made + seconds(15));
 }
 
-// Calls at once and writes down what it hears.
+// Records everything received from discovery.
 class RecordingClient : public DiscoveryClient {
 public:
     explicit RecordingClient(SimulatedClock& clock) : clock_(clock) {}
@@ -80,7 +81,8 @@
     SimulatedClock& clock_;
 };
 
-// Four calls at once, at one call a second and a time-out of 2 s; a fifth 2.5 s later.
+// Makes four calls at the same time to a discovery that serves one call a second with a time-out of 2 s, and
+// a fifth 2.5 s later. Returns what each client received, at times counted from the first calls.
 std::vector<RecordingClient::Heard> heard_under(Overload overload) {
     SimulatedClock clock;
     DiscoverySettings settings;
@@ -114,7 +116,7 @@
         EXPECT_EQ(heard[static_cast<std::size_t>(late)].kind, ListKind::failed);
         EXPECT_EQ(heard[static_cast<std::size_t>(late)].at, milliseconds(5));
     }
-    EXPECT_EQ(heard[4].kind, ListKind::full);  // nothing is before it
+    EXPECT_EQ(heard[4].kind, ListKind::full);  // no call is queued before it
     EXPECT_EQ(heard[4].at, milliseconds(3500));
 }
 
@@ -127,7 +129,7 @@
         EXPECT_EQ(heard[static_cast<std::size_t>(late)].kind, ListKind::failed);
         EXPECT_EQ(heard[static_cast<std::size_t>(late)].at, seconds(2));
     }
-    EXPECT_EQ(heard[4].kind, ListKind::failed);  // the two that failed are before it
+    EXPECT_EQ(heard[4].kind, ListKind::failed);  // the two calls that failed are queued before it
     EXPECT_EQ(heard[4].at, milliseconds(4500));
 }
 
@@ -176,7 +178,7 @@
     RecordingClient client(clock);
     discovery.add_client(client);
     discovery.call(0);
-    clock.run_for(milliseconds(5000));  // the last word came a second ago
+    clock.run_for(milliseconds(5000));  // the last message was sent a second ago
     ASSERT_EQ(client.heard.size(), 1u);
     discovery.silence_watches();
     discovery.drain({1});
