--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -193,7 +193,7 @@
             set_call_timer();
             return;
         }
-        if (kind != ListKind::cached) subscription_.on_answer(now);
+        if (kind != ListKind::cached) subscription_.on_list_received(now);
         if (kind != ListKind::delta) {
             for (auto& u : upstreams_) u.entry.state = UpstreamState::gone;  // unless the list names it
         }
@@ -233,13 +233,13 @@
     }
 
     void call_discovery(Time now) {
-        if (!subscription_.call_due(now)) return;
+        if (!subscription_.try_begin_call(now)) return;
         actions_.watch();
         set_call_timer();
     }
 
     void set_call_timer() {
-        actions_.set_timer(subscription_.next_call(), TimerToken{call_timer, 0, ++call_serial_}.pack());
+        actions_.set_timer(subscription_.next_call_at(), TimerToken{call_timer, 0, ++call_serial_}.pack());
     }
 
     // --------------------------------------------------------------------- 2. delay estimate and gate
--- a/src/policy/list_subscription.h
+++ b/src/policy/list_subscription.h
@@ -20,15 +20,16 @@
     // Borrows `settings` and `random`; both must outlive the object. `now` is the start of the process.
     ListSubscription(const Settings& settings, util::Random& random, Time now);
 
-    // Returns the time of the next call to discovery. Calls are made only at that time, through call_due().
-    Time next_call() const { return next_call_; }
+    // Returns the time of the next call to discovery. Calls are made only at that time, through
+    // try_begin_call().
+    Time next_call_at() const { return next_call_at_; }
 
-    // Must be called at `next_call()`. Returns false while subscribed; otherwise records that a call starts
-    // now and returns true.
-    bool call_due(Time now);
+    // Must be called at `next_call_at()`. Returns false while subscribed; otherwise records that a call
+    // starts now and returns true.
+    bool try_begin_call(Time now);
 
     // Records that discovery has sent a full list or a change, so that the current list is up to date.
-    void on_answer(Time now);
+    void on_list_received(Time now);
 
     // Records that the pending call has failed or the subscription has ended. `kind` is failed, closed,
     // unreachable, silent or moved.
@@ -40,35 +41,36 @@
     Time send_by(Time now) const;
 
 private:
-    void lose(Time now, Time told_at, Time told_latest);
-    Time first_call(Time now, Time told_at) const;
-    Micros reset_span() const;
-    Micros outage_gap_least() const;
-    Micros gap_after_failure(Time now, ListKind kind);
-    Micros gap_after_refusal(Time now);
-    Micros gap_after_hang(Time now);
-    Micros gap_in_crowd(Time now) const;
-    Micros gap_in_outage(Time now) const;
-    void extend(Time told_at);
-    Micros spread() const;
+    void on_subscription_lost(Time now, Time notified_at, Time notified_at_latest);
+    Time first_call_at(Time now, Time notified_at) const;
+    Micros reset_call_spread() const;
+    Micros min_outage_backoff() const;
+    Micros backoff_after_failure(Time now, ListKind kind);
+    Micros backoff_after_rejection(Time now);
+    Micros backoff_after_timeout(Time now);
+    Micros overload_backoff(Time now) const;
+    Micros outage_backoff(Time now) const;
+    void postpone_notification(Time notified_at);
+    Micros call_spread() const;
 
     const Settings& settings_;
     util::Random& random_;
-    const Micros margin_;  // time for which the list stays usable after a missed change counts as notified
+    // Time for which the list stays usable after a missed change counts as notified.
+    const Micros usable_margin_;
     bool subscribed_ = false;
-    bool confirmed_ = false;     // discovery has sent a list to this process
-    bool up_when_lost_ = false;  // discovery was up when the last subscription ended
-    bool refuses_ = false;       // discovery has immediately rejected a call of this process
-    double slot_ = 0;            // position of this balancer in the order of the fleet's calls, 0 to 1
-    int hung_calls_ = 0;   // calls since the last subscription ended that timed out or got no connection
-    Time lost_at_{};       // end of the last subscription, or the last time discovery was known to be down
-    Time called_at_{};     // start of the last call
-    Time recovered_at_{};  // start of the call that ended an outage while discovery was overloaded
-    Time next_call_{};
+    bool list_confirmed_ = false;           // discovery has sent a list to this process
+    bool discovery_up_at_loss_ = false;     // discovery was up when the last subscription ended
+    bool discovery_rejects_calls_ = false;  // discovery has immediately rejected a call of this process
+    double call_position_ = 0;  // position of this balancer in the order of the fleet's calls, 0 to 1
+    int timed_out_calls_ = 0;   // calls since the last subscription ended that timed out or got no connection
+    Time lost_at_{};    // end of the last subscription, or the last time discovery was known to be down
+    Time called_at_{};  // start of the last call
+    Time recovery_call_at_{};  // start of the call that ended an outage while discovery was overloaded
+    Time next_call_at_{};
     // Time at which missed changes count as notified if a failed call has postponed it.
-    Time told_at_ = Time::max();
+    Time notified_at_ = Time::max();
     Time usable_until_ = Time::max();
-    Micros refused_gap_{};  // last back-off after a rejected call; 0: none since the last list
+    Micros rejection_backoff_{};  // last back-off after a rejected call; 0: none since the last list
 };
 
 }  // namespace flaxdoor
--- a/tests/fleet_discovery_test.cpp
+++ b/tests/fleet_discovery_test.cpp
@@ -3,8 +3,8 @@
 //
 // Every run is checked for:
 //   drains   no attempt is sent, or may by its `send_by` still be sent, later than the drain grace after the
-//            drain counts as notified (see ToldRecord)
-//   news     every instance receives the newest list within `news_bound`
+//            drain counts as notified (see NotificationRecord)
+//   list     every instance receives the newest list within `newest_list_bound`
 //   service  if discovery can serve the whole fleet within a second, no request is refused or failed
 //
 // The suites named Overbooked guard against a congestion collapse. Discovery also processes calls that have
@@ -24,145 +24,147 @@
 namespace flaxdoor::test {
 namespace {
 
-TEST_P(FleetBeforeDiscovery, DownAtTheStartThenUpstreamsDrain) { down_at_the_start(); }
-TEST_P(FleetBeforeDiscovery, WatchesEndTwiceInsteadOfTelling) { watches_end_twice(); }
-TEST_P(FleetBeforeDiscovery, MoveThenUpstreamsDrain) { moves(); }
-TEST_P(FleetBeforeDiscovery, WatchesFallSilentThenUpstreamsDrain) { watches_fall_silent(); }
+TEST_P(FleetBeforeDiscovery, DownAtTheStartThenUpstreamsDrain) { run_down_at_the_start(); }
+TEST_P(FleetBeforeDiscovery, WatchesEndTwiceInsteadOfTelling) { run_watches_end_twice(); }
+TEST_P(FleetBeforeDiscovery, MoveThenUpstreamsDrain) { run_move(); }
+TEST_P(FleetBeforeDiscovery, WatchesFallSilentThenUpstreamsDrain) { run_watches_fall_silent(); }
 
 class FleetInAnOutage : public FleetBeforeDiscovery {
 protected:
-    void service_goes_on(Micros outage = seconds(8));
+    void run_outage(Micros outage = seconds(8));
 
     // Returns when the instance last received anything from discovery, up to `when`.
-    static Time last_heard(const ModelledInstance& instance, Time when) {
+    static Time last_received_at(const ModelledInstance& instance, Time when) {
         Time last{};
-        for (const auto& each : instance.heard()) {
+        for (const auto& each : instance.received()) {
             if (each.at <= when) last = each.at;
         }
         return last;
     }
 };
 
+// Outages in which the back-off reaches its upper bound.
 using FleetInALongOutage = FleetInAnOutage;
 
 // Guards against a list that expires between two calls while the back-off does not grow yet.
-TEST_P(FleetInALongOutage, ServiceGoesOnForThreeMinutes) { service_goes_on(std::chrono::minutes(3)); }
+TEST_P(FleetInALongOutage, ServiceContinuesForThreeMinutes) { run_outage(std::chrono::minutes(3)); }
 
 // Guards against an interruption of service that begins before missed changes count as notified, or outlasts
 // the next call. An interruption cannot be avoided: the back-off has to grow, because an overload by the
-// fleet's own calls would never end otherwise (see TwoWorlds).
-TEST_P(FleetInALongOutage, ServicePausesOnlyFromToldTimeToTheEndOfTheNextCall) {
+// fleet's own calls would never end otherwise (see OutageOrOverload).
+TEST_P(FleetInALongOutage, ServiceStopsOnlyFromNotificationToTheEndOfTheNextCall) {
     constexpr Micros call_timeout = DiscoverySettings{}.call_timeout;
-    const Micros longest_gap = FleetSettings{}.ask_within;
+    const Micros longest_backoff = FleetSettings{}.ask_within;
     start(false);
-    ASSERT_NO_FATAL_FAILURE(settle());
-    clock.run_for(shift());
+    ASSERT_NO_FATAL_FAILURE(wait_until_all_watch());
+    clock.run_for(seed_offset());
     discovery->go_down();
     clock.run_for(std::chrono::minutes(10));
-    discovery->come_back();
-    const Time back = clock.now();
-    clock.run_for(news_bound() + longest_gap + seconds(3));
+    discovery->recover();
+    const Time recovered_at = clock.now();
+    clock.run_for(newest_list_bound() + longest_backoff + seconds(3));
     ASSERT_TRUE(discovery->all_watching());
-    const Micros served_within = call_timeout + longest_gap + GetParam().serve_all;
+    const Micros served_within = call_timeout + longest_backoff + GetParam().round_duration;
     for (const auto& instance : fleet->instances()) {
-        for (const Time each : instance->turned_away()) {
-            EXPECT_GE(each - (last_heard(*instance, each) - call_timeout), ToldTerms{}.at_most);
-            EXPECT_LE(each, back + served_within);
+        for (const Time each : instance->unserved_at()) {
+            EXPECT_GE(each - (last_received_at(*instance, each) - call_timeout),
+                      NotificationDelays{}.at_most);
+            EXPECT_LE(each, recovered_at + served_within);
         }
     }
-    const Micros pause = fleet->longest_pause(began);
+    const Micros pause = fleet->longest_pause(started_at);
     RecordProperty("longest_pause_ms", static_cast<int>(pause / milliseconds(1)));
-    RecordProperty("unserved_requests", static_cast<int>(fleet->turned_away()));
-    const Micros most_pause = longest_gap + 2 * call_timeout - ToldTerms{}.at_most;
-    EXPECT_LE(pause / milliseconds(1), most_pause / milliseconds(1));
+    RecordProperty("unserved_requests", static_cast<int>(fleet->unserved_count()));
+    const Micros max_pause = longest_backoff + 2 * call_timeout - NotificationDelays{}.at_most;
+    EXPECT_LE(pause / milliseconds(1), max_pause / milliseconds(1));
 }
 
 // The protocol allows both: calls to a discovery that is down fail with status 503 immediately or later.
-TEST_P(FleetInAnOutage, ServiceGoesOn) { service_goes_on(); }
+TEST_P(FleetInAnOutage, ServiceContinues) { run_outage(); }
 
 // Guards against an interruption of service that begins before missed changes count as notified, or lasts
 // longer than a round of calls after the recovery. An interruption cannot be avoided: an overloaded discovery
-// also rejects calls immediately (see TwoWorlds).
-TEST_P(FleetInAnOutage, ServicePausesOnlyFromToldTimeToAnAnswerWhereCallsAreRefused) {
-    while_down = CallWhileDown::is_refused_at_once;
+// also rejects calls immediately (see OutageOrOverload).
+TEST_P(FleetInAnOutage, ServiceStopsOnlyFromNotificationToTheNextResponseIfCallsAreRejected) {
+    while_down = CallWhileDown::is_rejected_immediately;
     start(false);
-    ASSERT_NO_FATAL_FAILURE(settle());
-    clock.run_for(shift());
-    const Time down = clock.now();
+    ASSERT_NO_FATAL_FAILURE(wait_until_all_watch());
+    clock.run_for(seed_offset());
+    const Time down_at = clock.now();
     discovery->go_down();
     clock.run_for(seconds(8));
-    discovery->come_back();
-    const Time back = clock.now();
-    clock.run_for(news_bound() + seconds(3));
+    discovery->recover();
+    const Time recovered_at = clock.now();
+    clock.run_for(newest_list_bound() + seconds(3));
     ASSERT_TRUE(discovery->all_watching());
     Time first = Time::max(), last{};
     for (const auto& instance : fleet->instances()) {
-        for (const Time each : instance->turned_away()) {
+        for (const Time each : instance->unserved_at()) {
             first = std::min(first, each);
             last = std::max(last, each);
         }
     }
-    RecordProperty("paused_after_ms", static_cast<int>((first - down) / milliseconds(1)));
-    RecordProperty("served_after_ms", static_cast<int>((last - back) / milliseconds(1)));
-    EXPECT_GE((first - down) / milliseconds(1), ToldTerms{}.at_most / milliseconds(1));
-    EXPECT_LE((last - back) / milliseconds(1), service_bound() / milliseconds(1));
+    RecordProperty("paused_after_ms", static_cast<int>((first - down_at) / milliseconds(1)));
+    RecordProperty("served_after_ms", static_cast<int>((last - recovered_at) / milliseconds(1)));
+    EXPECT_GE((first - down_at) / milliseconds(1), NotificationDelays{}.at_most / milliseconds(1));
+    EXPECT_LE((last - recovered_at) / milliseconds(1), service_bound() / milliseconds(1));
 }
 
-void FleetInAnOutage::service_goes_on(Micros outage) {
-    constexpr Micros most_pause = milliseconds(1500);
+void FleetInAnOutage::run_outage(Micros outage) {
+    constexpr Micros max_pause = milliseconds(1500);
     start(false);
-    ASSERT_NO_FATAL_FAILURE(settle());
-    clock.run_for(shift());
+    ASSERT_NO_FATAL_FAILURE(wait_until_all_watch());
+    clock.run_for(seed_offset());
     discovery->go_down();
     clock.run_for(outage);
-    discovery->come_back();
+    discovery->recover();
     // By then, changes made during the outage would count as notified, and every instance has received a list
     // without changes.
-    clock.run_for(std::max<Micros>(ToldTerms{}.at_most, news_bound()) + seconds(3));
-    const Micros pause = fleet->longest_pause(began);
+    clock.run_for(std::max<Micros>(NotificationDelays{}.at_most, newest_list_bound()) + seconds(3));
+    const Micros pause = fleet->longest_pause(started_at);
     RecordProperty("longest_pause_ms", static_cast<int>(pause / milliseconds(1)));
-    RecordProperty("unserved_requests", static_cast<int>(fleet->turned_away()));
-    EXPECT_LE(pause / milliseconds(1), most_pause / milliseconds(1));
+    RecordProperty("unserved_requests", static_cast<int>(fleet->unserved_count()));
+    EXPECT_LE(pause / milliseconds(1), max_pause / milliseconds(1));
 }
 
 // ------------------------------------------------------------------------ outage compared with overload
 
 // A fleet whose discovery goes down for `outage`, then drains upstreams. Discovery rejects calls immediately
-// while it is down and while its queue is full, and needs `serve_all` for one call of each instance.
-struct RefusedFleet {
+// while it is down and while its queue is full, and needs `round_duration` for one call of each instance.
+struct FleetWithRejectedCalls {
     static constexpr Micros grace = milliseconds(500);
 
-    RefusedFleet(Micros serve_all, Micros outage) {
+    FleetWithRejectedCalls(Micros round_duration, Micros outage) {
         FleetSettings fleet_settings;
         fleet_settings.instances = 30;
         fleet_settings.drain_grace = grace;
         DiscoverySettings settings;
-        settings.calls_per_s = settling_calls_per_s;
-        settings.while_down = CallWhileDown::is_refused_at_once;
+        settings.calls_per_s = startup_calls_per_s;
+        settings.while_down = CallWhileDown::is_rejected_immediately;
         discovery =
             std::make_unique<ModelledDiscovery>(clock, settings, upstreams_for(fleet_settings.instances));
         fleet = std::make_unique<ModelledFleet>(clock, *discovery, fleet_settings);
-        clock.run_for(settling);
+        clock.run_for(startup_time);
         discovery->set_calls_per_s(fleet_settings.instances /
-                                   duration_cast<duration<double>>(serve_all).count());
-        down = clock.now();
+                                   duration_cast<duration<double>>(round_duration).count());
+        down_at = clock.now();
         discovery->go_down();
         clock.run_for(outage);
-        discovery->come_back();
+        discovery->recover();
         discovery->drain({1, 2});
-        clock.run_until(down + seconds(30));
+        clock.run_until(down_at + seconds(30));
     }
 
     SimulatedClock clock;
     std::unique_ptr<ModelledDiscovery> discovery;
     std::unique_ptr<ModelledFleet> fleet;
-    Time down{};
+    Time down_at{};
 };
 
 // Returns for how long after `lost` two instances receive the same from discovery at the same times.
-Micros same_for(const ModelledInstance& one, const ModelledInstance& other, Time lost) {
-    const auto [a, b] = std::ranges::mismatch(one.heard(), other.heard());
-    if (a == one.heard().end() || b == other.heard().end()) return Micros::max();
+Micros indistinguishable_for(const ModelledInstance& one, const ModelledInstance& other, Time lost) {
+    const auto [a, b] = std::ranges::mismatch(one.received(), other.received());
+    if (a == one.received().end() || b == other.received().end()) return Micros::max();
     return std::min(a->at, b->at) - lost;
 }
 
@@ -170,92 +172,96 @@
 // at once, rejects calls because its queue is full and drains upstreams sends an instance the same responses.
 // That lasts for up to a round of calls and a back-off. If a round takes longer than 6 s, that is longer than
 // the drain takes to count as notified.
-TEST(TwoWorlds, AnOutageAndACrowdThatRefuseLookTheSameForARoundOfCalls) {
-    constexpr Micros outage = seconds(30), blink = milliseconds(10);
-    for (const Micros serve_all : {seconds(1), seconds(5), seconds(12), seconds(20)}) {
-        const RefusedFleet down(serve_all, outage), crowded(serve_all, blink);
-        const DrainChange drain = crowded.discovery->drains().front();
+TEST(OutageOrOverload, RejectedCallsLookTheSameForARoundOfCalls) {
+    constexpr Micros outage = seconds(30), short_outage = milliseconds(10);
+    for (const Micros round_duration : {seconds(1), seconds(5), seconds(12), seconds(20)}) {
+        const FleetWithRejectedCalls down(round_duration, outage), overloaded(round_duration, short_outage);
+        const DrainChange drain = overloaded.discovery->drains().front();
         Micros longest{};
         int beyond_grace = 0;
         for (int i = 0; i < static_cast<int>(down.fleet->instances().size()); ++i) {
             const auto at = static_cast<std::size_t>(i);
-            const Micros same =
-                same_for(*down.fleet->instances()[at], *crowded.fleet->instances()[at], down.down);
-            longest = std::max(longest, same);
-            const Time told = crowded.discovery->told_at(i, drain);
-            beyond_grace += crowded.down + same > told + RefusedFleet::grace;
+            const Micros indistinguishable = indistinguishable_for(
+                *down.fleet->instances()[at], *overloaded.fleet->instances()[at], down.down_at);
+            longest = std::max(longest, indistinguishable);
+            const Time notified_at = overloaded.discovery->notified_at(i, drain);
+            beyond_grace +=
+                overloaded.down_at + indistinguishable > notified_at + FleetWithRejectedCalls::grace;
         }
-        const auto round_s = std::to_string(serve_all / seconds(1));
+        const auto round_s = std::to_string(round_duration / seconds(1));
         RecordProperty("indistinguishable_for_ms_at_" + round_s + "_s_a_round",
                        static_cast<int>(longest / milliseconds(1)));
         RecordProperty("indistinguishable_beyond_grace_at_" + round_s + "_s_a_round", beyond_grace);
-        EXPECT_LE(longest, blink + serve_all + call_gaps) << round_s;
-        EXPECT_EQ(beyond_grace > 0, serve_all > ToldTerms{}.at_most) << round_s;
-        EXPECT_TRUE(crowded.fleet->drain_breaches(slack).empty()) << round_s;
+        EXPECT_LE(longest, short_outage + round_duration + backoff_allowance) << round_s;
+        EXPECT_EQ(beyond_grace > 0, round_duration > NotificationDelays{}.at_most) << round_s;
+        EXPECT_TRUE(overloaded.fleet->drain_violations(tolerance).empty()) << round_s;
     }
 }
 
 // A fleet whose discovery goes down for `outage`, which resets all watches and lets calls time out, then
-// drains upstreams. Discovery also processes calls that have timed out, and needs `serve_all` for one call of
-// each instance. The run ends at `until` after the start of the outage.
-struct HungFleet {
+// drains upstreams. Discovery also processes calls that have timed out, and needs `round_duration` for one
+// call of each instance. The run ends at `until` after the start of the outage.
+struct FleetWithTimedOutCalls {
     static constexpr Micros grace = milliseconds(500);
 
-    HungFleet(Micros serve_all, Micros outage, Micros until) {
+    FleetWithTimedOutCalls(Micros round_duration, Micros outage, Micros until) {
         FleetSettings fleet_settings;
         fleet_settings.instances = 30;
         fleet_settings.drain_grace = grace;
         DiscoverySettings settings;
-        settings.calls_per_s = settling_calls_per_s;
-        settings.overload = Overload::work_off;
+        settings.calls_per_s = startup_calls_per_s;
+        settings.overload = OverloadHandling::process_timed_out;
         discovery =
             std::make_unique<ModelledDiscovery>(clock, settings, upstreams_for(fleet_settings.instances));
         fleet = std::make_unique<ModelledFleet>(clock, *discovery, fleet_settings);
-        clock.run_for(settling);
+        clock.run_for(startup_time);
         discovery->set_calls_per_s(fleet_settings.instances /
-                                   duration_cast<duration<double>>(serve_all).count());
-        down = clock.now();
+                                   duration_cast<duration<double>>(round_duration).count());
+        down_at = clock.now();
         discovery->go_down();
         clock.run_for(outage);
-        discovery->come_back();
+        discovery->recover();
         discovery->drain({1, 2});
-        clock.run_until(down + until);
+        clock.run_until(down_at + until);
     }
 
     SimulatedClock clock;
     std::unique_ptr<ModelledDiscovery> discovery;
     std::unique_ptr<ModelledFleet> fleet;
-    Time down{};
+    Time down_at{};
 };
 
 // Shows why the back-off has to grow in a long outage, although service is interrupted between calls. If a
 // round of calls takes longer than the time between two calls that keep the list usable, a discovery that
 // recovered at once and is overloaded by the fleet's own calls never responds to some instances. They receive
 // the same as in an outage, for minutes, while the drain that they have missed counts as notified after 6 s.
-TEST(TwoWorlds, AnOutageAndACrowdThatHangsLookTheSameWhereARoundTakesLongerThanACycleOfCalls) {
-    constexpr Micros until = std::chrono::minutes(10), blink = milliseconds(10);
+TEST(OutageOrOverload, TimedOutCallsLookTheSameIfARoundTakesLongerThanTheCallPeriod) {
+    constexpr Micros until = std::chrono::minutes(10), short_outage = milliseconds(10);
     // A call that times out keeps the list usable for 6 s and the grace after its start; the next call has to
     // start early enough to time out within that.
-    const Micros cycle = ToldTerms{}.at_most + HungFleet::grace - DiscoverySettings{}.call_timeout;
-    const HungFleet down(seconds(1), until, until);
-    for (const Micros serve_all : {seconds(1), seconds(4), seconds(5), seconds(8), seconds(20)}) {
-        const HungFleet crowded(serve_all, blink, until);
-        const DrainChange drain = crowded.discovery->drains().front();
+    const Micros call_period =
+        NotificationDelays{}.at_most + FleetWithTimedOutCalls::grace - DiscoverySettings{}.call_timeout;
+    const FleetWithTimedOutCalls down(seconds(1), until, until);
+    for (const Micros round_duration : {seconds(1), seconds(4), seconds(5), seconds(8), seconds(20)}) {
+        const FleetWithTimedOutCalls overloaded(round_duration, short_outage, until);
+        const DrainChange drain = overloaded.discovery->drains().front();
         Micros longest{};
         int beyond_grace = 0;
         for (int i = 0; i < static_cast<int>(down.fleet->instances().size()); ++i) {
             const auto at = static_cast<std::size_t>(i);
-            const Micros same = std::min(
-                until, same_for(*down.fleet->instances()[at], *crowded.fleet->instances()[at], down.down));
-            longest = std::max(longest, same);
-            const Time told = crowded.discovery->told_at(i, drain);
-            beyond_grace += crowded.down + same > told + HungFleet::grace;
+            const Micros indistinguishable =
+                std::min(until, indistinguishable_for(*down.fleet->instances()[at],
+                                                      *overloaded.fleet->instances()[at], down.down_at));
+            longest = std::max(longest, indistinguishable);
+            const Time notified_at = overloaded.discovery->notified_at(i, drain);
+            beyond_grace +=
+                overloaded.down_at + indistinguishable > notified_at + FleetWithTimedOutCalls::grace;
         }
-        const auto round_s = std::to_string(serve_all / seconds(1));
+        const auto round_s = std::to_string(round_duration / seconds(1));
         RecordProperty("indistinguishable_for_ms_at_" + round_s + "_s_a_round",
                        static_cast<int>(longest / milliseconds(1)));
         RecordProperty("indistinguishable_beyond_grace_at_" + round_s + "_s_a_round", beyond_grace);
-        EXPECT_EQ(beyond_grace > 0, serve_all > cycle) << round_s;
+        EXPECT_EQ(beyond_grace > 0, round_duration > call_period) << round_s;
     }
 }
 
@@ -265,11 +271,12 @@
 class CrowdAfterAReset : public testing::TestWithParam<int> {};
 
 TEST_P(CrowdAfterAReset, BreaksNoDrain) {
-    const HungFleet crowded(seconds(GetParam()), milliseconds(10), std::chrono::minutes(2));
-    const std::vector<DrainBreach> breaches = crowded.fleet->drain_breaches(slack);
+    const FleetWithTimedOutCalls overloaded(seconds(GetParam()), milliseconds(10), std::chrono::minutes(2));
+    const std::vector<DrainViolation> violations = overloaded.fleet->drain_violations(tolerance);
     Micros latest{};
-    for (const DrainBreach& each : breaches) latest = std::max(latest, each.late_by);
-    EXPECT_TRUE(breaches.empty()) << breaches.size() << ", up to " << latest / milliseconds(1) << " ms late";
+    for (const DrainViolation& each : violations) latest = std::max(latest, each.late_by);
+    EXPECT_TRUE(violations.empty()) << violations.size() << ", up to " << latest / milliseconds(1)
+                                    << " ms late";
 }
 
 INSTANTIATE_TEST_SUITE_P(ShortRounds, CrowdAfterAReset, testing::Values(1, 2, 3, 4));
@@ -282,61 +289,65 @@
 TEST_P(FleetInLongTrouble, DiscoverySlowsToAThirdInARecovery) {
     constexpr int slower = 3;
     start(true);
-    ASSERT_NO_FATAL_FAILURE(settle());
-    drain_some();
-    clock.run_for(GetParam().serve_all / 2 + shift());
+    ASSERT_NO_FATAL_FAILURE(wait_until_all_watch());
+    drain_a_sixth();
+    clock.run_for(GetParam().round_duration / 2 + seed_offset());
     discovery->set_calls_per_s(calls_per_s() / slower);
-    slowed = slower;
-    drain_some();
-    judge(clock.now());
+    slowdown = slower;
+    drain_a_sixth();
+    check_run(clock.now());
 }
 
 // Drains made during the outage count as notified only after it; others follow soon after the recovery.
 TEST_P(FleetInLongTrouble, AnOutageOfMinutesThenUpstreamsDrain) {
     start(true);
-    ASSERT_NO_FATAL_FAILURE(settle());
-    clock.run_for(shift());
+    ASSERT_NO_FATAL_FAILURE(wait_until_all_watch());
+    clock.run_for(seed_offset());
     discovery->go_down();
     clock.run_for(std::chrono::minutes(3));
-    drain_some();
-    discovery->come_back();
+    drain_a_sixth();
+    discovery->recover();
     clock.run_for(seconds(2));
-    drain_some();
-    judge(clock.now());
+    drain_a_sixth();
+    check_run(clock.now());
 }
 
 // The silence of watches is detected while calls after a move are still pending.
 TEST_P(FleetInLongTrouble, WatchesFallSilentInAMove) {
     constexpr Micros span = seconds(3);
     start(false);
-    ASSERT_NO_FATAL_FAILURE(settle());
+    ASSERT_NO_FATAL_FAILURE(wait_until_all_watch());
     discovery->move(span);
-    clock.run_for(span / 2 + shift());
+    clock.run_for(span / 2 + seed_offset());
     discovery->silence_watches();
-    const Time silent = clock.now();
-    drain_some();
-    judge(silent + watch_silence);
+    const Time silent_at = clock.now();
+    drain_a_sixth();
+    check_run(silent_at + watch_silence);
 }
 
 // Returns whether discovery processes calls that have timed out and needs longer for a round of calls than
 // their time-out. Such a discovery responds to later rounds only after it has processed the calls that timed
 // out. These cases have separate suites, named Overbooked.
-bool overbooked(Overload overload, Micros serve_all) {
-    return overload == Overload::work_off && serve_all > DiscoverySettings{}.call_timeout;
+bool overbooked(OverloadHandling overload, Micros round_duration) {
+    return overload == OverloadHandling::process_timed_out &&
+           round_duration > DiscoverySettings{}.call_timeout;
 }
 
-enum class Discoveries { ample, overbooked };
+enum class DiscoveryCapacity { ample, overbooked };
 
-std::vector<Case> cases(const std::vector<Micros>& serve_all, std::uint64_t seeds, Discoveries discoveries) {
-    constexpr int many = 350;  // slow to run: one seed
-    const bool wanted = discoveries == Discoveries::overbooked;
-    std::vector<Case> all;
-    for (const int instances : {12, 30, 60, many}) {
+std::vector<FleetCase> cases(const std::vector<Micros>& round_durations, std::uint64_t seeds,
+                             DiscoveryCapacity capacity) {
+    constexpr int large_fleet_size = 350;  // slow to run: one seed
+    const bool wanted = capacity == DiscoveryCapacity::overbooked;
+    std::vector<FleetCase> all;
+    for (const int instances : {12, 30, 60, large_fleet_size}) {
         for (const Micros drain_grace : {milliseconds(500), milliseconds(2000)}) {
-            for (const Micros each : serve_all) {
-                for (const Overload overload : {Overload::refuse_at_once, Overload::work_off}) {
+            for (const Micros each : round_durations) {
+                for (const OverloadHandling overload :
+                     {OverloadHandling::reject_immediately, OverloadHandling::process_timed_out}) {
                     if (overbooked(overload, each) != wanted) continue;
-                    for (std::uint64_t seed = 1; seed <= (instances == many ? 1 : seeds); ++seed) {
+                    for (std::uint64_t seed = 1; seed <= (instances == large_fleet_size ? 1 : seeds);
+                         ++seed) {
                         all.push_back({instances, drain_grace, each, overload, seed});
                     }
                 }
@@ -348,48 +359,55 @@
 
 // Returns cases of a fleet as large as in the operators' acceptance run, with discoveries that serve all
 // instances in 1 s and 5 s.
-std::vector<Case> largest_fleet(Discoveries discoveries) {
-    constexpr int most_instances = 900;
-    const Case scarce{most_instances, milliseconds(500), seconds(5), Overload::work_off, 1};
-    if (discoveries == Discoveries::overbooked) return {scarce};
-    return {{most_instances, milliseconds(500), seconds(1), Overload::refuse_at_once, 1},
-            {most_instances, milliseconds(500), seconds(5), Overload::refuse_at_once, 1}};
+std::vector<FleetCase> largest_fleet(DiscoveryCapacity capacity) {
+    constexpr int max_instances = 900;
+    const FleetCase scarce{max_instances, milliseconds(500), seconds(5), OverloadHandling::process_timed_out,
+                           1};
+    if (capacity == DiscoveryCapacity::overbooked) return {scarce};
+    return {{max_instances, milliseconds(500), seconds(1), OverloadHandling::reject_immediately, 1},
+            {max_instances, milliseconds(500), seconds(5), OverloadHandling::reject_immediately, 1}};
 }
 
 class FleetBeforeOverbookedDiscovery : public FleetBeforeDiscovery {};
 
-TEST_P(FleetBeforeOverbookedDiscovery, WorksOffCallsInVain) { watches_end_twice(); }
+TEST_P(FleetBeforeOverbookedDiscovery, ProcessesCallsThatHaveTimedOut) { run_watches_end_twice(); }
 
 INSTANTIATE_TEST_SUITE_P(Ample, FleetBeforeDiscovery,
-                         testing::ValuesIn(cases({seconds(1), seconds(5)}, 2, Discoveries::ample)),
+                         testing::ValuesIn(cases({seconds(1), seconds(5)}, 2, DiscoveryCapacity::ample)),
                          param_name);
 // Discovery needs longer for one call of each instance than the 6 s after which changes count as notified.
 INSTANTIATE_TEST_SUITE_P(Scarce, FleetBeforeDiscovery,
-                         testing::ValuesIn(cases({seconds(12)}, 1, Discoveries::ample)), param_name);
+                         testing::ValuesIn(cases({seconds(12)}, 1, DiscoveryCapacity::ample)), param_name);
 INSTANTIATE_TEST_SUITE_P(Ample, FleetInAnOutage,
-                         testing::ValuesIn(cases({seconds(1), seconds(5)}, 1, Discoveries::ample)),
+                         testing::ValuesIn(cases({seconds(1), seconds(5)}, 1, DiscoveryCapacity::ample)),
                          param_name);
 INSTANTIATE_TEST_SUITE_P(OverbookedFor5s, FleetBeforeDiscovery,
-                         testing::ValuesIn(cases({seconds(5)}, 2, Discoveries::overbooked)), param_name);
+                         testing::ValuesIn(cases({seconds(5)}, 2, DiscoveryCapacity::overbooked)),
+                         param_name);
 INSTANTIATE_TEST_SUITE_P(OverbookedFor12s, FleetBeforeDiscovery,
-                         testing::ValuesIn(cases({seconds(12)}, 1, Discoveries::overbooked)), param_name);
+                         testing::ValuesIn(cases({seconds(12)}, 1, DiscoveryCapacity::overbooked)),
+                         param_name);
 INSTANTIATE_TEST_SUITE_P(OverbookedFor5s, FleetInAnOutage,
-                         testing::ValuesIn(cases({seconds(5)}, 1, Discoveries::overbooked)), param_name);
-INSTANTIATE_TEST_SUITE_P(Ample, FleetInALongOutage,
-                         testing::Values(Case{30, milliseconds(500), seconds(1), Overload::refuse_at_once, 1},
-                                         Case{30, milliseconds(2000), seconds(1), Overload::work_off, 1}),
+                         testing::ValuesIn(cases({seconds(5)}, 1, DiscoveryCapacity::overbooked)),
                          param_name);
+INSTANTIATE_TEST_SUITE_P(
+    Ample, FleetInALongOutage,
+    testing::Values(FleetCase{30, milliseconds(500), seconds(1), OverloadHandling::reject_immediately, 1},
+                    FleetCase{30, milliseconds(2000), seconds(1), OverloadHandling::process_timed_out, 1}),
+    param_name);
 INSTANTIATE_TEST_SUITE_P(LargestFleet, FleetBeforeDiscovery,
-                         testing::ValuesIn(largest_fleet(Discoveries::ample)), param_name);
+                         testing::ValuesIn(largest_fleet(DiscoveryCapacity::ample)), param_name);
 INSTANTIATE_TEST_SUITE_P(LargestFleetOverbooked, FleetBeforeDiscovery,
-                         testing::ValuesIn(largest_fleet(Discoveries::overbooked)), param_name);
+                         testing::ValuesIn(largest_fleet(DiscoveryCapacity::overbooked)), param_name);
 INSTANTIATE_TEST_SUITE_P(Ample, FleetInLongTrouble,
-                         testing::ValuesIn(cases({seconds(1), seconds(5)}, 1, Discoveries::ample)),
+                         testing::ValuesIn(cases({seconds(1), seconds(5)}, 1, DiscoveryCapacity::ample)),
                          param_name);
 INSTANTIATE_TEST_SUITE_P(OverbookedFor5s, FleetInLongTrouble,
-                         testing::ValuesIn(cases({seconds(5)}, 1, Discoveries::overbooked)), param_name);
+                         testing::ValuesIn(cases({seconds(5)}, 1, DiscoveryCapacity::overbooked)),
+                         param_name);
 INSTANTIATE_TEST_SUITE_P(Scarce, FleetBeforeOverbookedDiscovery,
-                         testing::Values(Case{30, milliseconds(500), seconds(5), Overload::work_off, 1}));
+                         testing::Values(FleetCase{30, milliseconds(500), seconds(5),
+                                                   OverloadHandling::process_timed_out, 1}));
 
 }  // namespace
 }  // namespace flaxdoor::test
--- a/tests/fleet_fixture.h
+++ b/tests/fleet_fixture.h
@@ -20,39 +20,43 @@
 using std::chrono::seconds;
 
 // Tolerance of the checks on drains.
-inline constexpr Micros slack = milliseconds(50);
+inline constexpr Micros tolerance = milliseconds(50);
 // Instances call one after another at the start, over 5 s at most, so that all of them watch by then.
-inline constexpr Micros settling = seconds(6);
-inline constexpr double settling_calls_per_s = 100'000;
+inline constexpr Micros startup_time = seconds(6);
+inline constexpr double startup_calls_per_s = 100'000;
 // Allowance for the back-off between calls, in addition to one call for each instance and its time-out.
-inline constexpr Micros call_gaps = seconds(2);
+inline constexpr Micros backoff_allowance = seconds(2);
 
-struct Case {
+// Parameters of a test case.
+struct FleetCase {
     int instances;
     Micros drain_grace;
-    Micros serve_all;  // time in which discovery answers one call of each instance
-    Overload overload;
+    Micros round_duration;  // time in which discovery serves one call of each instance
+    OverloadHandling overload;
     std::uint64_t seed;
 };
 
-inline std::string name_of(const Case& c) {
-    const bool refuses = c.overload == Overload::refuse_at_once;
+inline std::string name_of(const FleetCase& c) {
+    const bool rejects = c.overload == OverloadHandling::reject_immediately;
     return std::to_string(c.instances) + "_instances_grace_" +
            std::to_string(c.drain_grace / milliseconds(1)) + "_ms_served_in_" +
-           std::to_string(c.serve_all / seconds(1)) + "_s_" + (refuses ? "refusing" : "working_off") +
+           std::to_string(c.round_duration / seconds(1)) + "_s_" + (rejects ? "refusing" : "working_off") +
            "_seed_" + std::to_string(c.seed);
 }
-inline void PrintTo(const Case& c, std::ostream* out) { *out << name_of(c); }
+inline void PrintTo(const FleetCase& c, std::ostream* out) { *out << name_of(c); }
 
-class FleetBeforeDiscovery : public testing::TestWithParam<Case> {
+// Runs a fleet with a simulated discovery, as the case's parameters say.
+class FleetBeforeDiscovery : public testing::TestWithParam<FleetCase> {
 protected:
-    void start(bool ends_instead_of_telling, bool up = true) {
-        const Case& c = GetParam();
+    // Starts discovery and all instances. If `ends_watches_on_change`, a drain ends all watches and is not
+    // sent.
+    void start(bool ends_watches_on_change, bool up = true) {
+        const FleetCase& c = GetParam();
         DiscoverySettings settings;
         settings.overload = c.overload;
-        settings.ends_instead_of_telling = ends_instead_of_telling;
+        settings.ends_watches_on_change = ends_watches_on_change;
         settings.while_down = while_down;
-        settings.calls_per_s = up ? settling_calls_per_s : calls_per_s();
+        settings.calls_per_s = up ? startup_calls_per_s : calls_per_s();
         discovery = std::make_unique<ModelledDiscovery>(clock, settings, upstreams_for(c.instances));
         if (!up) discovery->go_down();
         FleetSettings fleet_settings;
@@ -60,22 +64,22 @@
         fleet_settings.drain_grace = c.drain_grace;
         fleet_settings.seed = c.seed;
         fleet = std::make_unique<ModelledFleet>(clock, *discovery, fleet_settings);
-        began = clock.now();
+        started_at = clock.now();
     }
 
-    // Runs until all instances watch, then gives discovery the capacity of the case.
-    void settle() {
-        clock.run_for(settling);
+    // Runs until all instances have watches, then gives discovery the capacity of the case.
+    void wait_until_all_watch() {
+        clock.run_for(startup_time);
         ASSERT_TRUE(discovery->all_watching());
         discovery->set_calls_per_s(calls_per_s());
     }
 
     double calls_per_s() const {
-        return GetParam().instances / duration_cast<duration<double>>(GetParam().serve_all).count();
+        return GetParam().instances / duration_cast<duration<double>>(GetParam().round_duration).count();
     }
 
     // Drains a sixth of the upstreams, different ones each time, of both zones.
-    void drain_some() {
+    void drain_a_sixth() {
         const std::size_t count = discovery->upstreams().size() / 6;
         std::vector<UpstreamId> ids;
         for (std::size_t i = 0; i < count; ++i) ids.push_back(++last_drained);
@@ -83,84 +87,87 @@
     }
 
     // Returns a small offset for the times of events, a different one for each seed.
-    Micros shift() const { return milliseconds(130) * static_cast<Micros::rep>(GetParam().seed); }
+    Micros seed_offset() const { return milliseconds(130) * static_cast<Micros::rep>(GetParam().seed); }
 
     // Returns the longest time allowed from the last event that makes instances call until all of them have
     // the newest list. A discovery that processes calls that have timed out may spend one round on such
     // calls.
-    virtual Micros news_bound() const {
-        const int rounds = GetParam().overload == Overload::work_off ? 2 : 1;
-        return rounds * slowed * GetParam().serve_all + DiscoverySettings{}.call_timeout + call_gaps;
+    virtual Micros newest_list_bound() const {
+        const int rounds = GetParam().overload == OverloadHandling::process_timed_out ? 2 : 1;
+        return rounds * slowdown * GetParam().round_duration + DiscoverySettings{}.call_timeout +
+               backoff_allowance;
     }
 
     // Returns the longest time allowed from the recovery of discovery until every instance has a response: a
     // round of calls and the back-off before it.
-    Micros service_bound() const { return GetParam().serve_all + call_gaps; }
+    Micros service_bound() const { return GetParam().round_duration + backoff_allowance; }
 
     // Discovery is down when the instances start; upstreams begin to drain soon after it recovers.
-    void down_at_the_start() {
+    void run_down_at_the_start() {
         start(true, false);
-        clock.run_until(began + seconds(6));
-        discovery->come_back();
-        for (const Micros after_return : {milliseconds(700), milliseconds(1900), milliseconds(3200)}) {
-            clock.run_until(began + seconds(6) + after_return + shift());
-            drain_some();
+        clock.run_until(started_at + seconds(6));
+        discovery->recover();
+        for (const Micros after_recovery : {milliseconds(700), milliseconds(1900), milliseconds(3200)}) {
+            clock.run_until(started_at + seconds(6) + after_recovery + seed_offset());
+            drain_a_sixth();
         }
-        judge(clock.now());
+        check_run(clock.now());
     }
 
     // Two drains a second apart each end all watches and are not sent on them.
-    void watches_end_twice() {
+    void run_watches_end_twice() {
         start(true);
-        ASSERT_NO_FATAL_FAILURE(settle());
-        drain_some();
-        clock.run_for(seconds(1) + shift());
-        drain_some();
-        judge(clock.now());
+        ASSERT_NO_FATAL_FAILURE(wait_until_all_watch());
+        drain_a_sixth();
+        clock.run_for(seconds(1) + seed_offset());
+        drain_a_sixth();
+        check_run(clock.now());
     }
 
     // Instances learn of the new address one after another; upstreams begin to drain during and after the
     // move.
-    void moves() {
+    void run_move() {
         constexpr Micros span = seconds(3);
         start(false);
-        ASSERT_NO_FATAL_FAILURE(settle());
+        ASSERT_NO_FATAL_FAILURE(wait_until_all_watch());
         discovery->move(span);
-        clock.run_for(span / 2 + shift());
-        drain_some();
-        clock.run_until(began + settling + span + milliseconds(100));
-        drain_some();
-        judge(clock.now());
+        clock.run_for(span / 2 + seed_offset());
+        drain_a_sixth();
+        clock.run_until(started_at + startup_time + span + milliseconds(100));
+        drain_a_sixth();
+        check_run(clock.now());
     }
 
-    void watches_fall_silent() {
+    // All watches fall silent; upstreams begin to drain before the hosts have detected it.
+    void run_watches_fall_silent() {
         start(false);
-        ASSERT_NO_FATAL_FAILURE(settle());
-        clock.run_for(shift());
+        ASSERT_NO_FATAL_FAILURE(wait_until_all_watch());
+        clock.run_for(seed_offset());
         discovery->silence_watches();
-        const Time silent = clock.now();
+        const Time silent_at = clock.now();
         clock.run_for(milliseconds(100));
-        drain_some();
+        drain_a_sixth();
         clock.run_for(seconds(1));
-        drain_some();
-        judge(silent + watch_silence);  // hosts have detected the silence by then
+        drain_a_sixth();
+        check_run(silent_at + watch_silence);  // hosts have detected the silence by then
     }
 
     // Runs until every list should have arrived and every drain grace has passed, then checks the whole run.
-    void judge(Time last_event) {
-        const Micros told_and_over = ToldTerms{}.at_most + GetParam().drain_grace + seconds(1);
-        clock.run_until(std::max(clock.now() + told_and_over, last_event + news_bound()));
-        judge_drains();
-        judge_news(last_event);
-        judge_service();
+    void check_run(Time last_event) {
+        const Micros time_to_grace_end = NotificationDelays{}.at_most + GetParam().drain_grace + seconds(1);
+        clock.run_until(std::max(clock.now() + time_to_grace_end, last_event + newest_list_bound()));
+        check_drains();
+        check_newest_list(last_event);
+        check_service();
     }
 
-    void judge_drains() {
+    // Checks that no submit breaks the rule on drains.
+    void check_drains() {
         int late_submits = 0, late_send_bys = 0;
         Micros latest_submit{}, latest_send_by{};
         std::vector<int> instances;
-        for (const DrainBreach& each : fleet->drain_breaches(slack)) {
-            const bool submit = each.kind == DrainBreach::Kind::submit;
+        for (const DrainViolation& each : fleet->drain_violations(tolerance)) {
+            const bool submit = each.kind == DrainViolation::Kind::submit;
             ++(submit ? late_submits : late_send_bys);
             Micros& latest = submit ? latest_submit : latest_send_by;
             latest = std::max(latest, each.late_by);
@@ -177,34 +184,38 @@
         EXPECT_EQ(late_send_bys, 0) << "up to " << latest_send_by / milliseconds(1) << " ms late";
     }
 
-    void judge_news(Time last_event) {
-        const auto heard = discovery->newest_heard_by_all_at();
+    // Checks that every instance has received the newest list within `newest_list_bound()` after
+    // `last_event`.
+    void check_newest_list(Time last_event) {
+        const auto delivered_at = discovery->newest_list_delivered_to_all_at();
         RecordProperty("newest_list_delay_ms",
-                       heard ? static_cast<int>((*heard - last_event) / milliseconds(1)) : -1);
+                       delivered_at ? static_cast<int>((*delivered_at - last_event) / milliseconds(1)) : -1);
         RecordProperty("calls_failed", static_cast<int>(discovery->calls_failed()));
-        ASSERT_TRUE(heard) << "some instances have not received the newest list; "
-                           << discovery->calls_failed() << " of " << discovery->calls_made()
-                           << " calls failed";
-        EXPECT_LE((*heard - last_event) / milliseconds(1), news_bound() / milliseconds(1));
+        ASSERT_TRUE(delivered_at) << "some instances have not received the newest list; "
+                                  << discovery->calls_failed() << " of " << discovery->calls_made()
+                                  << " calls failed";
+        EXPECT_LE((*delivered_at - last_event) / milliseconds(1), newest_list_bound() / milliseconds(1));
     }
 
-    void judge_service() {
-        RecordProperty("unserved_requests", static_cast<int>(fleet->turned_away()));
-        RecordProperty("longest_pause_ms", static_cast<int>(fleet->longest_pause(began) / milliseconds(1)));
-        if (slowed * GetParam().serve_all > seconds(1)) return;
-        EXPECT_EQ(fleet->turned_away(), 0u)
-            << "longest pause: " << fleet->longest_pause(began) / milliseconds(1) << " ms";
+    // Checks that no request was refused or failed if a round of calls takes no longer than a second.
+    void check_service() {
+        RecordProperty("unserved_requests", static_cast<int>(fleet->unserved_count()));
+        RecordProperty("longest_pause_ms",
+                       static_cast<int>(fleet->longest_pause(started_at) / milliseconds(1)));
+        if (slowdown * GetParam().round_duration > seconds(1)) return;
+        EXPECT_EQ(fleet->unserved_count(), 0u)
+            << "longest pause: " << fleet->longest_pause(started_at) / milliseconds(1) << " ms";
     }
 
     SimulatedClock clock;
     std::unique_ptr<ModelledDiscovery> discovery;
     std::unique_ptr<ModelledFleet> fleet;
-    Time began{};
+    Time started_at{};
     UpstreamId last_drained = 0;
-    CallWhileDown while_down = CallWhileDown::hangs;
-    int slowed = 1;  // factor by which a round of calls takes longer than the case says
+    CallWhileDown while_down = CallWhileDown::times_out;
+    int slowdown = 1;  // factor by which a round of calls takes longer than the case says
 };
 
-inline std::string param_name(const testing::TestParamInfo<Case>& info) { return name_of(info.param); }
+inline std::string param_name(const testing::TestParamInfo<FleetCase>& info) { return name_of(info.param); }
 
 }  // namespace flaxdoor::test
--- a/tests/fleet_restart_test.cpp
+++ b/tests/fleet_restart_test.cpp
@@ -16,17 +16,17 @@
 
 struct RestartCase {
     int instances;
-    Micros serve_all;  // time in which discovery answers one call of each instance of the fleet
+    Micros round_duration;  // time in which discovery serves one call of each instance of the fleet
     Micros drain_grace;
-    Overload overload;
+    OverloadHandling overload;
     Micros downtime;  // from the drains, made when the old processes ended, to the start of the new ones
 };
 
 std::string name_of(const RestartCase& c) {
-    const bool refuses = c.overload == Overload::refuse_at_once;
+    const bool rejects = c.overload == OverloadHandling::reject_immediately;
     return std::to_string(c.instances) + "_instances_grace_" +
            std::to_string(c.drain_grace / milliseconds(1)) + "_ms_served_in_" +
-           std::to_string(c.serve_all / seconds(1)) + "_s_" + (refuses ? "refusing" : "working_off") +
+           std::to_string(c.round_duration / seconds(1)) + "_s_" + (rejects ? "refusing" : "working_off") +
            "_down_for_" + std::to_string(c.downtime / milliseconds(1)) + "_ms";
 }
 void PrintTo(const RestartCase& c, std::ostream* out) { *out << name_of(c); }
@@ -34,7 +34,7 @@
 class FleetRestart : public testing::TestWithParam<RestartCase> {
 protected:
     // Returns seven in ten of the ranks, evenly spaced.
-    std::vector<int> restarted() const {
+    std::vector<int> restarted_ranks() const {
         std::vector<int> ranks;
         for (int rank = 0; rank < GetParam().instances; ++rank) {
             if (rank * 7 % 10 < 7) ranks.push_back(rank);
@@ -51,41 +51,42 @@
     SimulatedClock clock;
     DiscoverySettings settings;
     settings.overload = c.overload;
-    settings.calls_per_s = c.instances / duration_cast<duration<double>>(c.serve_all).count();
+    settings.calls_per_s = c.instances / duration_cast<duration<double>>(c.round_duration).count();
     ModelledDiscovery discovery(clock, settings, upstreams_for(c.instances));
-    const std::vector<UpstreamEntry> known = discovery.upstreams();
+    const std::vector<UpstreamEntry> initial_list = discovery.upstreams();
     discovery.drain({1, 2, 3, 4});
     clock.run_for(c.downtime);
     FleetSettings fleet_settings;
     fleet_settings.instances = c.instances;
     fleet_settings.drain_grace = c.drain_grace;
-    const ModelledFleet fleet(clock, discovery, fleet_settings, restarted(), known);
+    const ModelledFleet fleet(clock, discovery, fleet_settings, restarted_ranks(), initial_list);
     clock.run_for(seconds(15));
-    const std::vector<DrainBreach> breaches = fleet.drain_breaches(slack);
+    const std::vector<DrainViolation> violations = fleet.drain_violations(tolerance);
     Micros latest{};
-    for (const DrainBreach& each : breaches) latest = std::max(latest, each.late_by);
+    for (const DrainViolation& each : violations) latest = std::max(latest, each.late_by);
     RecordProperty("calls_failed", static_cast<int>(discovery.calls_failed()));
     RecordProperty("longest_pause_ms",
                    static_cast<int>(fleet.longest_pause(clock.now() - seconds(15)) / milliseconds(1)));
-    EXPECT_TRUE(breaches.empty()) << breaches.size() << " of " << fleet.submits() << ", up to "
-                                  << latest / milliseconds(1) << " ms late; " << discovery.calls_failed()
-                                  << " of " << discovery.calls_made() << " calls failed";
+    EXPECT_TRUE(violations.empty()) << violations.size() << " of " << fleet.submits() << ", up to "
+                                    << latest / milliseconds(1) << " ms late; " << discovery.calls_failed()
+                                    << " of " << discovery.calls_made() << " calls failed";
 }
 
 // Returns whether discovery is so slow that the calls of seven in ten instances take 5.6 s or longer.
-bool slow(const RestartCase& c) { return c.serve_all >= seconds(8); }
+bool discovery_is_slow(const RestartCase& c) { return c.round_duration >= seconds(8); }
 
 // Returns whether calls time out. With 12 instances one call takes 0.67 s, so some wait longer than the
 // time-out and their instances take that for an outage.
 bool calls_hang(const RestartCase& c) {
-    return slow(c) && c.instances == 12 && c.overload == Overload::work_off;
+    return discovery_is_slow(c) && c.instances == 12 && c.overload == OverloadHandling::process_timed_out;
 }
 
 // Returns whether the last instances receive the drains only after these count as notified and the grace has
 // passed, so that they use the old list for too long. Of 12 instances the last one calls a little sooner.
 bool heard_too_late(const RestartCase& c) {
     const Micros downtime_from = c.instances == 12 ? milliseconds(1500) : milliseconds(1000);
-    return slow(c) && !calls_hang(c) && c.drain_grace < seconds(1) && c.downtime >= downtime_from;
+    return discovery_is_slow(c) && !calls_hang(c) && c.drain_grace < seconds(1) &&
+           c.downtime >= downtime_from;
 }
 
 bool heard_in_time(const RestartCase& c) { return !calls_hang(c) && !heard_too_late(c); }
@@ -93,12 +94,13 @@
 std::vector<RestartCase> cases(bool (*wanted)(const RestartCase&)) {
     std::vector<RestartCase> all;
     for (const int instances : {12, 30, 60, 300}) {
-        for (const Micros serve_all : {seconds(1), seconds(5), seconds(8)}) {
+        for (const Micros round_duration : {seconds(1), seconds(5), seconds(8)}) {
             for (const Micros drain_grace : {milliseconds(500), milliseconds(2000)}) {
-                for (const Overload overload : {Overload::refuse_at_once, Overload::work_off}) {
+                for (const OverloadHandling overload :
+                     {OverloadHandling::reject_immediately, OverloadHandling::process_timed_out}) {
                     for (const Micros downtime :
                          {milliseconds(200), milliseconds(1000), milliseconds(1500)}) {
-                        const RestartCase c{instances, serve_all, drain_grace, overload, downtime};
+                        const RestartCase c{instances, round_duration, drain_grace, overload, downtime};
                         if (wanted(c)) all.push_back(c);
                     }
                 }
--- a/tests/list_subscription_test.cpp
+++ b/tests/list_subscription_test.cpp
@@ -10,7 +10,7 @@
 namespace flaxdoor::test {
 namespace {
 
-TEST(TheList, AskedAtStartOneInstanceAfterAnother) {
+TEST(ListSubscription, InstancesCallOneAfterAnotherAtStart) {
     Time last{};
     for (int rank = 0; rank < 3; ++rank) {
         Settings s = plain_settings();
@@ -33,24 +33,24 @@
 // A change counts as notified 6 s after discovery had it and could be reached, however many calls have
 // failed. The host gives a call up after 3 s, so the back-off has to leave the rest of the 6 s for another
 // call.
-TEST(TheList, UnansweredCallsAreRepeatedWithGrowingGapsInTime) {
+TEST(ListSubscription, UnansweredCallsAreRepeatedWithGrowingBackOffInTime) {
     Settings s = plain_settings();
     s.must_ask_list = true;
     s.ask_within = std::chrono::seconds(10);
     Rig rig(s);
     rig.list(ListKind::cached, {Rig::entry(1)});
     rig.run(rig.now);
-    std::vector<Time> asked;
+    std::vector<Time> backoffs;
     for (int i = 0; i < 40; ++i) {
         const int before = rig.sink.watches;
         rig.run(rig.now + ms(i % 2 == 0 ? 150 : 2000));  // time for which the call was pending
         constexpr ListKind ends[] = {ListKind::failed, ListKind::unreachable, ListKind::silent};
         rig.list(ends[i % 3], {});
-        const Time failed = rig.now;
+        const Time failed_at = rig.now;
         while (rig.sink.watches == before) rig.run(rig.now + ms(50));
-        asked.push_back(rig.now - failed);
-        EXPECT_LE(asked.back(), ms(2550));  // the test polls every 50 ms
-        EXPECT_GE(asked.back(), i == 0 ? ms(400) : ms(950));
+        backoffs.push_back(rig.now - failed_at);
+        EXPECT_LE(backoffs.back(), ms(2550));  // the test polls every 50 ms
+        EXPECT_GE(backoffs.back(), i == 0 ? ms(400) : ms(950));
     }
     rig.list(ListKind::full, {Rig::entry(1)});  // subscribed: no further calls
     const int before = rig.sink.watches;
@@ -60,7 +60,7 @@
 
 // A call that is rejected immediately found discovery's queue full. Further calls follow soon, with
 // exponential back-off, so that one of them arrives when the queue has room.
-TEST(TheList, RefusedCallsAreRepeatedSoonWithGrowingGaps) {
+TEST(ListSubscription, RejectedCallsAreRepeatedSoonWithExponentialBackOff) {
     Settings s = plain_settings();
     s.must_ask_list = true;
     s.ask_within = std::chrono::seconds(10);
@@ -71,20 +71,20 @@
         const int before = rig.sink.watches;
         rig.run(rig.now + ms(5));
         rig.list(ListKind::failed, {});
-        const Time failed = rig.now;
+        const Time failed_at = rig.now;
         while (rig.sink.watches == before) rig.run(rig.now + ms(10));
-        const Time gap = rig.now - failed;
+        const Time backoff = rig.now - failed_at;
         const Time mean = std::min(ms(800), ms(100L << std::min(i, 3)));
-        EXPECT_GE(gap, mean / 2) << i;
-        EXPECT_LE(gap, mean * 3 / 2 + ms(10)) << i;
+        EXPECT_GE(backoff, mean / 2) << i;
+        EXPECT_LE(backoff, mean * 3 / 2 + ms(10)) << i;
     }
 }
 
 // Guards against a list that stays in use for too long after a call timed out. A time-out proves only that
 // discovery could not be reached when the call started, even if the call was pending for longer than
 // `ask_within`. No second call is made while one is pending.
-TEST(TheList, ACallThatIsOutForLongProvesNothingBeyondItsBeginning) {
-    const Micros call_limit = ms(4250);  // after which the host gives a call up
+TEST(ListSubscription, ALongPendingCallExtendsTheUseOfTheListOnlyFromItsStart) {
+    const Micros host_call_timeout = ms(4250);  // after which the host gives a call up
     Settings s = plain_settings();
     s.must_ask_list = true;
     s.ask_within = std::chrono::seconds(2);
@@ -96,18 +96,18 @@
     const int before = rig.sink.watches;
     rig.list(ListKind::failed, {});
     while (rig.sink.watches == before) rig.run(rig.now + ms(5));
-    const Time called = rig.now;
-    rig.run(called + call_limit);
+    const Time called_at = rig.now;
+    rig.run(called_at + host_call_timeout);
     EXPECT_EQ(rig.sink.watches, before + 1);
     rig.list(ListKind::silent, {});
-    rig.run(called + std::chrono::seconds(6) + s.drain_grace);
+    rig.run(called_at + std::chrono::seconds(6) + s.drain_grace);
     EXPECT_EQ(rig.sink.sends(rig.request(unsafe)), 0u);
 }
 
 // Changes missed because a watch ended count as notified 2 s later. The first call is made so early that it
 // may wait for those 2 s. Without a response, nothing is sent from the end of the drain grace until the list
 // arrives.
-TEST(TheList, AfterAWatchHasEndedNothingIsSentOnAListThatIsTooOld) {
+TEST(ListSubscription, NothingIsSentOnAStaleListAfterAWatchHasEnded) {
     Settings s = plain_settings();
     s.must_ask_list = true;
     s.ask_within = std::chrono::seconds(10);
@@ -117,17 +117,18 @@
     rig.list(ListKind::cached, {Rig::entry(1)});
     rig.run(rig.now + s.ask_within);
     rig.list(ListKind::full, {Rig::entry(1)});
-    const Time ended = rig.now;
+    const Time ended_at = rig.now;
     const int before = rig.sink.watches;
     rig.list(ListKind::failed, {});
-    rig.run(ended + ms(250));
+    rig.run(ended_at + ms(250));
     EXPECT_EQ(rig.sink.watches, before + 1);
-    rig.run(ended + ms(2300));
+    rig.run(ended_at + ms(2300));
     const RequestId in_time = rig.request();
     ASSERT_EQ(rig.sink.sends(in_time), 1u);
-    EXPECT_LE(rig.sink.submits.back().send_by, ended + ms(2500));  // its connection may be established late
+    // The connection of the attempt may be established late.
+    EXPECT_LE(rig.sink.submits.back().send_by, ended_at + ms(2500));
     rig.end(in_time, 0, Outcome::ok);
-    rig.run(ended + ms(2500));
+    rig.run(ended_at + ms(2500));
     const RequestId late = rig.request(unsafe);
     EXPECT_EQ(rig.sink.sends(late), 0u);
     rig.list(ListKind::full, {Rig::entry(1)});
@@ -136,7 +137,7 @@
 
 // Discovery that cannot be reached has notified nobody of changes, so requests are still sent on the old
 // list.
-TEST(TheList, WhileDiscoveryCanNotBeReachedTheOldListIsUsed) {
+TEST(ListSubscription, TheOldListIsUsedWhileDiscoveryIsUnreachable) {
     Settings s = plain_settings();
     s.must_ask_list = true;
     s.ask_within = std::chrono::seconds(10);
@@ -158,7 +159,7 @@
 
 // Guards against a thundering herd: if a whole fleet calls within one second, discovery cannot process the
 // calls before they time out. All instances start together, and later one event ends all watches.
-TEST(TheList, TheCallsOfManyBalancersAreSpreadInTime) {
+TEST(ListSubscription, CallsOfManyBalancersAreSpreadInTime) {
     Settings s = plain_settings();
     s.must_ask_list = true;
     s.ask_within = std::chrono::seconds(10);
@@ -166,18 +167,18 @@
     std::vector<Time> starts, repeats;
     for (s.rank = 0; s.rank < s.balancers; ++s.rank) {
         Rig rig(s, static_cast<std::uint64_t>(s.rank) + 1);
-        const Time begun = rig.now;
-        const auto asked_after = [&](Time event, int calls) {
+        const Time started_at = rig.now;
+        const auto time_until_call = [&](Time event, int calls) {
             while (rig.sink.watches < calls && rig.now < event + s.ask_within) rig.run(rig.now + ms(1));
             return rig.now - event;
         };
         rig.list(ListKind::cached, {Rig::entry(1)});
-        starts.push_back(asked_after(begun, 1));
+        starts.push_back(time_until_call(started_at, 1));
         rig.list(ListKind::full, {Rig::entry(1)});
-        const Time ended = begun + std::chrono::seconds(20);
-        rig.run(ended);
+        const Time ended_at = started_at + std::chrono::seconds(20);
+        rig.run(ended_at);
         rig.list(ListKind::failed, {});
-        repeats.push_back(asked_after(ended, 2));
+        repeats.push_back(time_until_call(ended_at, 2));
     }
     // The repeated calls have to arrive before the changes missed count as notified.
     for (auto [calls, last, apart] :
@@ -192,39 +193,39 @@
 
 // Changes missed by a silent watch count as notified 6 s after its last message. 3 s of these have passed
 // when the silence is detected; the calls of a fleet are spread over the remaining time.
-TEST(TheList, AWatchThatFellSilentIsAskedForAnewBeforeItsNewsCountAsTold) {
+TEST(ListSubscription, ASilentWatchIsReplacedBeforeMissedChangesCountAsNotified) {
     for (const int balancers : {1, 300}) {
         Settings s = plain_settings();
         s.must_ask_list = true;
         s.ask_within = std::chrono::seconds(10);
         s.balancers = balancers;
-        std::vector<Time> gaps;
+        std::vector<Time> delays;
         for (std::uint64_t seed = 1; seed <= 40; ++seed) {
             Rig rig(s, seed);
             rig.list(ListKind::cached, {Rig::entry(1)});
             rig.run(rig.now + s.ask_within);
             rig.list(ListKind::full, {Rig::entry(1)});
             rig.list(ListKind::silent, {});
-            const Time silent = rig.now;
+            const Time silent_at = rig.now;
             const int before = rig.sink.watches;
-            while (rig.sink.watches == before && rig.now < silent + ms(3000)) rig.run(rig.now + ms(10));
-            gaps.push_back(rig.now - silent);
-            rig.list(ListKind::silent,
-                     {});  // again, with no list between: the back-off grows as after failed calls
+            while (rig.sink.watches == before && rig.now < silent_at + ms(3000)) rig.run(rig.now + ms(10));
+            delays.push_back(rig.now - silent_at);
+            // Silent again, with no list between: the back-off grows as after failed calls.
+            rig.list(ListKind::silent, {});
             rig.run(rig.now + ms(900));
             EXPECT_EQ(rig.sink.watches, before + 1);
         }
-        std::sort(gaps.begin(), gaps.end());
-        EXPECT_LE(gaps.back(), ms(2600)) << balancers;
-        EXPECT_GE(gaps.back() - gaps.front(), ms(800)) << balancers;
+        std::sort(delays.begin(), delays.end());
+        EXPECT_LE(delays.back(), ms(2600)) << balancers;
+        EXPECT_GE(delays.back() - delays.front(), ms(800)) << balancers;
     }
 }
 
 // ------------------------------------------------ calls that time out: overload or outage of discovery
 
-constexpr Micros hang = std::chrono::seconds(2);  // time after which discovery fails a queued call
+constexpr Micros call_timeout = std::chrono::seconds(2);  // time after which discovery fails a queued call
 
-Settings asking_settings() {
+Settings subscription_settings() {
     Settings s = plain_settings();
     s.must_ask_list = true;
     s.ask_within = std::chrono::seconds(10);
@@ -235,9 +236,9 @@
 }
 
 // A balancer with an established watch.
-class Watching : public Rig {
+class WatchingRig : public Rig {
 public:
-    explicit Watching(const Settings& settings = asking_settings()) : Rig(settings) {
+    explicit WatchingRig(const Settings& settings = subscription_settings()) : Rig(settings) {
         list(ListKind::cached, {entry(1)});
         run(now + settings.ask_within);
         list(ListKind::full, {entry(1)});
@@ -251,8 +252,8 @@
     }
 
     // Lets the last call wait until discovery fails it.
-    void hang_call() {
-        run(now + hang);
+    void time_out_call() {
+        run(now + call_timeout);
         list(ListKind::failed, {});
     }
 
@@ -270,73 +271,73 @@
 // failed. If a call that timed out is taken for proof of an outage, the list stays in use for too long. A
 // watch that is closed in order shows that discovery is up, while a reset one may come from a failing
 // discovery.
-TEST(TheList, AfterAnEndInOrderCallsThatHangProveNoOutage) {
-    Watching rig;
-    const Time ended = rig.now;
+TEST(ListSubscription, TimeOutsAfterAnOrderlyCloseProveNoOutage) {
+    WatchingRig rig;
+    const Time ended_at = rig.now;
     rig.list(ListKind::closed, {});
     rig.run_to_call();
-    rig.hang_call();
-    rig.run(std::max(rig.now, ended + ms(2500)));
+    rig.time_out_call();
+    rig.run(std::max(rig.now, ended_at + ms(2500)));
     EXPECT_FALSE(rig.sends_now());
     rig.list(ListKind::full, {Rig::entry(1)});
     EXPECT_TRUE(rig.sends_now());
 }
 
-TEST(TheList, AfterAnEndInOrderCallsThatHangAreRepeatedWithGapsThatGrowByTheTimeThatHasPassed) {
-    const Settings s = asking_settings();
-    Watching rig(s);
-    const Time ended = rig.now;
+TEST(ListSubscription, BackOffAfterAnOrderlyCloseGrowsWithTheElapsedTime) {
+    const Settings s = subscription_settings();
+    WatchingRig rig(s);
+    const Time ended_at = rig.now;
     rig.list(ListKind::closed, {});
-    EXPECT_LE(rig.run_to_call() - ended,
-              ms(1800));  // a rejection arrives before missed changes count as notified
-    rig.hang_call();
-    Micros passed = rig.run_to_call() - ended;
-    EXPECT_GE(passed, s.ask_within / 2);
-    EXPECT_LE(passed, s.ask_within * 5 / 4);
+    // Early enough for a rejection to arrive before missed changes count as notified.
+    EXPECT_LE(rig.run_to_call() - ended_at, ms(1800));
+    rig.time_out_call();
+    Micros elapsed = rig.run_to_call() - ended_at;
+    EXPECT_GE(elapsed, s.ask_within / 2);
+    EXPECT_LE(elapsed, s.ask_within * 5 / 4);
     for (int i = 0; i < 3; ++i) {
-        const Time called = rig.now;
-        rig.hang_call();
-        const Micros gap = rig.run_to_call() - called;
-        EXPECT_GE(gap, std::min(passed, 5 * s.ask_within)) << i;
-        EXPECT_LE(gap, 7 * s.ask_within) << i;
-        passed = rig.now - ended;
+        const Time called_at = rig.now;
+        rig.time_out_call();
+        const Micros call_interval = rig.run_to_call() - called_at;
+        EXPECT_GE(call_interval, std::min(elapsed, 5 * s.ask_within)) << i;
+        EXPECT_LE(call_interval, 7 * s.ask_within) << i;
+        elapsed = rig.now - ended_at;
     }
 }
 
 // A rejection shows that discovery's queue is short or bounded, so waiting for the next round would gain
 // nothing.
-TEST(TheList, ARefusalAfterCallsThatHungBringsTheNextCallSoon) {
-    Watching rig;
+TEST(ListSubscription, ARejectionAfterTimeOutsBringsTheNextCallSoon) {
+    WatchingRig rig;
     rig.list(ListKind::closed, {});
     rig.run_to_call();
-    rig.hang_call();
+    rig.time_out_call();
     rig.run_to_call();
     rig.run(rig.now + ms(5));
     rig.list(ListKind::failed, {});
-    const Time refused = rig.now;
-    EXPECT_LE(rig.run_to_call() - refused, ms(200));
+    const Time rejected_at = rig.now;
+    EXPECT_LE(rig.run_to_call() - rejected_at, ms(200));
 }
 
 // A discovery that rejects calls that would wait too long lets calls time out only while it is down.
-TEST(TheList, WhereDiscoveryRefusesCallsThatHangProveAnOutage) {
-    Watching rig;
+TEST(ListSubscription, TimeOutsProveAnOutageIfDiscoveryRejectsCalls) {
+    WatchingRig rig;
     rig.list(ListKind::closed, {});
     rig.run_to_call();
     rig.list(ListKind::failed, {});  // at once
     for (int i = 0; i < 10; ++i) {
         rig.run_to_call();
-        rig.hang_call();
+        rig.time_out_call();
         EXPECT_TRUE(rig.sends_now()) << i;
     }
 }
 
 // A reset watch may come from a discovery that went down, so requests are served while calls time out.
-TEST(TheList, AfterAResetTheListIsUsedWhileCallsHang) {
-    Watching rig;
+TEST(ListSubscription, TheListIsUsedWhileCallsTimeOutAfterAReset) {
+    WatchingRig rig;
     rig.list(ListKind::failed, {});
     for (int i = 0; i < 6; ++i) {
         rig.run_to_call();
-        rig.hang_call();
+        rig.time_out_call();
         EXPECT_TRUE(rig.sends_now()) << i;
         rig.run(rig.now + ms(500));
         EXPECT_TRUE(rig.sends_now()) << i;
@@ -344,41 +345,41 @@
 }
 
 // A fleet that calls every few seconds for minutes may itself be the load that keeps discovery overloaded.
-TEST(TheList, InALongOutageTheGapsGrowUpToTheTimeToAskWithin) {
-    const Settings s = asking_settings();
-    Watching rig(s);
-    const Time reset = rig.now;
+TEST(ListSubscription, BackOffInALongOutageGrowsUpToAskWithin) {
+    const Settings s = subscription_settings();
+    WatchingRig rig(s);
+    const Time reset_at = rig.now;
     rig.list(ListKind::failed, {});
-    Micros gap{};
-    while (rig.now < reset + std::chrono::minutes(10)) {
+    Micros backoff{};
+    while (rig.now < reset_at + std::chrono::minutes(10)) {
         rig.run_to_call();
-        rig.hang_call();
-        const Time hung = rig.now;
-        gap = rig.run_to_call() - hung;
-        if (hung < reset + std::chrono::minutes(3)) {
-            EXPECT_LE(gap, ms(2550));
+        rig.time_out_call();
+        const Time timed_out_at = rig.now;
+        backoff = rig.run_to_call() - timed_out_at;
+        if (timed_out_at < reset_at + std::chrono::minutes(3)) {
+            EXPECT_LE(backoff, ms(2550));
         }
-        EXPECT_LE(gap, s.ask_within + ms(50));
+        EXPECT_LE(backoff, s.ask_within + ms(50));
     }
-    EXPECT_GE(gap, s.ask_within / 2);
+    EXPECT_GE(backoff, s.ask_within / 2);
 }
 
 // The list that a process starts with may be old. Calls that time out extend its use to 12 s and no further.
-TEST(TheList, AListNeverConfirmedIsNotUsedForLongOnTheWordOfCallsThatHang) {
+TEST(ListSubscription, AnUnconfirmedListIsNotUsedForLongWhileCallsTimeOut) {
     for (const ListKind kind : {ListKind::failed, ListKind::unreachable}) {
-        Rig rig(asking_settings());
+        Rig rig(subscription_settings());
         rig.list(ListKind::cached, {Rig::entry(1)});
-        const Time started = rig.now;
+        const Time started_at = rig.now;
         bool sent = true;
-        while (rig.now < started + std::chrono::seconds(30)) {
+        while (rig.now < started_at + std::chrono::seconds(30)) {
             const int before = rig.sink.watches;
             while (rig.sink.watches == before) rig.run(rig.now + ms(5));
-            rig.run(rig.now + hang);
+            rig.run(rig.now + call_timeout);
             rig.list(kind, {});
             const RequestId id = rig.request(unsafe);
             sent = rig.sink.sends(id) == 1;
             if (sent) rig.end(id, 0, Outcome::ok);
-            if (rig.now < started + std::chrono::seconds(12)) {
+            if (rig.now < started_at + std::chrono::seconds(12)) {
                 EXPECT_TRUE(sent);
             }
         }
@@ -387,28 +388,28 @@
 }
 
 // Calls that timed out are repeated at spaced times, or the fleet would overload discovery on its return.
-TEST(TheList, CallsOfManyBalancersAfterAnOutageAreApart) {
-    Settings s = asking_settings();
+TEST(ListSubscription, CallsOfManyBalancersAfterAnOutageAreSpacedApart) {
+    Settings s = subscription_settings();
     s.balancers = 60;
     std::vector<Time> calls;
     for (s.rank = 0; s.rank < s.balancers; ++s.rank) {
-        Watching rig(s);
-        const Time reset = rig.now;
+        WatchingRig rig(s);
+        const Time reset_at = rig.now;
         rig.list(ListKind::failed, {});
-        while (rig.run_to_call() < reset + std::chrono::seconds(8)) rig.hang_call();
-        calls.push_back(rig.now - reset);
+        while (rig.run_to_call() < reset_at + std::chrono::seconds(8)) rig.time_out_call();
+        calls.push_back(rig.now - reset_at);
     }
     std::sort(calls.begin(), calls.end());
     // A discovery that serves all of them in 5 s must not let any call wait longer than its time-out.
-    const Micros service = std::chrono::seconds(5) / s.balancers;
+    const Micros service_time = std::chrono::seconds(5) / s.balancers;
     Time free_at{};
     for (const Time call : calls) {
-        free_at = std::max(free_at, call) + service;
-        EXPECT_LE(free_at - call, hang);
+        free_at = std::max(free_at, call) + service_time;
+        EXPECT_LE(free_at - call, call_timeout);
     }
 }
 
-TEST(TheList, PushedListsAreNeverAskedFor) {
+TEST(ListSubscription, NoCallsAreMadeForPushedLists) {
     Rig rig;
     rig.fleet(2);
     rig.list(ListKind::failed, {});
--- a/tests/modelled_discovery.cpp
+++ b/tests/modelled_discovery.cpp
@@ -27,52 +27,58 @@
 
 // ------------------------------------------------------------------------------- notification of changes
 
-void ToldRecord::list_delivered(Time now, std::uint64_t version) { deliveries_.push_back({now, version}); }
+void NotificationRecord::list_delivered(Time now, std::uint64_t version) {
+    deliveries_.push_back({now, version});
+}
 
-void ToldRecord::watch_began(Time now) {
-    if (!gaps_.empty() && !gaps_.back().ended) gaps_.back().ended = now;
+void NotificationRecord::watch_began(Time now) {
+    if (!unwatched_periods_.empty() && !unwatched_periods_.back().ended)
+        unwatched_periods_.back().ended = now;
 }
 
-void ToldRecord::watch_lost(Time now, Cause cause) {
+void NotificationRecord::watch_lost(Time now, Cause cause) {
     watch_began(now);  // a period without a watch that has not ended yet ends where the next one begins
-    gaps_.push_back({cause, now, {}, {}});
+    unwatched_periods_.push_back({cause, now, {}, {}});
 }
 
-void ToldRecord::call_failed(Time now) {
-    if (gaps_.empty() || gaps_.back().ended) return;
-    if (!gaps_.back().first_failed_call) gaps_.back().first_failed_call = now;
+void NotificationRecord::call_failed(Time now) {
+    if (unwatched_periods_.empty() || unwatched_periods_.back().ended) return;
+    if (!unwatched_periods_.back().first_failed_call) unwatched_periods_.back().first_failed_call = now;
 }
 
-std::optional<Time> ToldRecord::delivered_at(std::uint64_t version) const {
+std::optional<Time> NotificationRecord::delivered_at(std::uint64_t version) const {
     for (const Delivery& delivery : deliveries_) {
         if (delivery.version >= version) return delivery.at;
     }
     return {};
 }
 
-std::optional<Time> ToldRecord::told_in(const Gap& gap, Time made_at, const ToldTerms& terms) {
-    Time told{};
-    switch (gap.cause) {
+std::optional<Time> NotificationRecord::notified_in(const UnwatchedPeriod& period, Time made_at,
+                                                    const NotificationDelays& delays) {
+    Time notified{};
+    switch (period.cause) {
         case Cause::never_watched:
         case Cause::discovery_down: return {};
-        case Cause::ended: told = std::max(made_at, gap.began + terms.after_watch_ended); break;
-        case Cause::fell_silent: told = std::max(made_at, gap.began + terms.after_silence); break;
-        case Cause::moved: told = std::max(made_at, gap.began + terms.after_move); break;
+        case Cause::ended: notified = std::max(made_at, period.began + delays.after_watch_ended); break;
+        case Cause::fell_silent: notified = std::max(made_at, period.began + delays.after_silence); break;
+        case Cause::moved: notified = std::max(made_at, period.began + delays.after_move); break;
     }
-    const bool excused = gap.cause == Cause::ended && gap.first_failed_call && *gap.first_failed_call <= told;
-    const bool over = gap.ended && *gap.ended <= told;
-    if (excused || over) return {};
-    return told;
-}
-
-Time ToldRecord::told_at(const DrainChange& change, const ToldTerms& terms) const {
-    Time told = change.reachable_at + terms.at_most;
-    if (const auto delivered = delivered_at(change.version)) told = std::min(told, *delivered);
-    for (const Gap& gap : gaps_) {
-        if (gap.ended && *gap.ended <= change.made_at) continue;
-        if (const auto in_gap = told_in(gap, change.made_at, terms)) told = std::min(told, *in_gap);
+    const bool postponed =
+        period.cause == Cause::ended && period.first_failed_call && *period.first_failed_call <= notified;
+    const bool ended_before = period.ended && *period.ended <= notified;
+    if (postponed || ended_before) return {};
+    return notified;
+}
+
+Time NotificationRecord::notified_at(const DrainChange& change, const NotificationDelays& delays) const {
+    Time notified = change.reachable_at + delays.at_most;
+    if (const auto delivered = delivered_at(change.version)) notified = std::min(notified, *delivered);
+    for (const UnwatchedPeriod& period : unwatched_periods_) {
+        if (period.ended && *period.ended <= change.made_at) continue;
+        if (const auto notified_in_period = notified_in(period, change.made_at, delays))
+            notified = std::min(notified, *notified_in_period);
     }
-    return told;
+    return notified;
 }
 
 // --------------------------------------------------------------------------------------------- discovery
@@ -82,8 +88,8 @@
     : clock_(clock), settings_(settings), upstreams_(std::move(upstreams)) {}
 
 int ModelledDiscovery::add_client(DiscoveryClient& client) {
-    links_.push_back({&client, State::idle, 0, {}, {}, ToldRecord(clock_.now())});
-    return static_cast<int>(links_.size()) - 1;
+    sessions_.push_back({&client, State::idle, 0, {}, {}, NotificationRecord(clock_.now())});
+    return static_cast<int>(sessions_.size()) - 1;
 }
 
 Micros ModelledDiscovery::service_time() const {
@@ -92,57 +98,60 @@
 
 // Schedules an event for the client's present call or watch. The event is ignored once that one has ended.
 void ModelledDiscovery::schedule(int client, Time due, void (ModelledDiscovery::*event)(int)) {
-    const std::uint64_t serial = link(client).serial;
+    const std::uint64_t serial = session(client).serial;
     clock_.at(due, [this, client, serial, event] {
-        if (link(client).serial == serial) (this->*event)(client);
+        if (session(client).serial == serial) (this->*event)(client);
     });
 }
 
 void ModelledDiscovery::call(int client) {
-    Link& caller = link(client);
+    Session& caller = session(client);
     if (caller.state != State::idle) return;
     const Time now = clock_.now();
     caller.state = State::calling;
     caller.called_at = now;
     ++caller.serial;
     ++calls_made_;
-    const Time timed_out = now + settings_.call_timeout;
+    const Time times_out_at = now + settings_.call_timeout;
     if (!up_) {
-        const bool hangs = settings_.while_down == CallWhileDown::hangs;
-        schedule(client, hangs ? timed_out : now + settings_.refusal_delay, &ModelledDiscovery::fail_call);
+        const bool times_out = settings_.while_down == CallWhileDown::times_out;
+        schedule(client, times_out ? times_out_at : now + settings_.rejection_delay,
+                 &ModelledDiscovery::fail_call);
         return;
     }
-    const Time answered = std::max(free_at_, now) + service_time();
-    const bool in_time = answered <= timed_out;
-    if (in_time || settings_.overload == Overload::work_off) free_at_ = answered;
-    if (in_time) {
-        schedule(client, answered, &ModelledDiscovery::answer);
-    } else if (settings_.overload == Overload::refuse_at_once) {
-        schedule(client, now + settings_.refusal_delay, &ModelledDiscovery::fail_call);
+    const Time responds_at = std::max(queue_empty_at_, now) + service_time();
+    const bool responds_in_time = responds_at <= times_out_at;
+    if (responds_in_time || settings_.overload == OverloadHandling::process_timed_out)
+        queue_empty_at_ = responds_at;
+    if (responds_in_time) {
+        schedule(client, responds_at, &ModelledDiscovery::respond);
+    } else if (settings_.overload == OverloadHandling::reject_immediately) {
+        schedule(client, now + settings_.rejection_delay, &ModelledDiscovery::fail_call);
     } else {
-        schedule(client, timed_out, &ModelledDiscovery::fail_call);
+        schedule(client, times_out_at, &ModelledDiscovery::fail_call);
     }
 }
 
-void ModelledDiscovery::hang_up(int client) {
-    Link& caller = link(client);
+void ModelledDiscovery::disconnect(int client) {
+    Session& caller = session(client);
     if (caller.state == State::idle) return;
-    if (caller.state != State::calling) caller.record.watch_lost(clock_.now(), ToldRecord::Cause::ended);
+    if (caller.state != State::calling)
+        caller.record.watch_lost(clock_.now(), NotificationRecord::Cause::ended);
     caller.state = State::idle;
     ++caller.serial;
 }
 
-void ModelledDiscovery::answer(int client) {
-    Link& caller = link(client);
+void ModelledDiscovery::respond(int client) {
+    Session& caller = session(client);
     caller.state = State::watching;
-    caller.spoke_at = clock_.now();
+    caller.last_sent_at = clock_.now();
     caller.record.list_delivered(clock_.now(), version_);
     caller.record.watch_began(clock_.now());
     caller.client->on_list(ListKind::full, ready_upstreams(), version_);
 }
 
 void ModelledDiscovery::fail_call(int client) {
-    Link& caller = link(client);
+    Session& caller = session(client);
     caller.state = State::idle;
     ++caller.serial;
     ++calls_failed_;
@@ -150,8 +159,8 @@
     caller.client->on_list(ListKind::failed, {}, 0);
 }
 
-void ModelledDiscovery::lose_watch(int client, ToldRecord::Cause cause, ListKind kind) {
-    Link& watcher = link(client);
+void ModelledDiscovery::end_watch(int client, NotificationRecord::Cause cause, ListKind kind) {
+    Session& watcher = session(client);
     watcher.state = State::idle;
     ++watcher.serial;
     watcher.record.watch_lost(clock_.now(), cause);
@@ -160,22 +169,22 @@
 
 void ModelledDiscovery::go_down() {
     up_ = false;
-    free_at_ = {};
-    for (int client = 0; client < static_cast<int>(links_.size()); ++client) {
-        Link& each = link(client);
+    queue_empty_at_ = {};
+    for (int client = 0; client < static_cast<int>(sessions_.size()); ++client) {
+        Session& each = session(client);
         if (each.state == State::calling) {
             // The call stays unanswered until its time-out.
             ++each.serial;
             schedule(client, each.called_at + settings_.call_timeout, &ModelledDiscovery::fail_call);
         } else if (each.state != State::idle) {
-            lose_watch(client, ToldRecord::Cause::discovery_down, ListKind::failed);
+            end_watch(client, NotificationRecord::Cause::discovery_down, ListKind::failed);
             continue;
         }
-        each.record.watch_lost(clock_.now(), ToldRecord::Cause::discovery_down);
+        each.record.watch_lost(clock_.now(), NotificationRecord::Cause::discovery_down);
     }
 }
 
-void ModelledDiscovery::come_back() {
+void ModelledDiscovery::recover() {
     up_ = true;
     for (DrainChange& each : drains_) {
         if (each.reachable_at == Time::max()) each.reachable_at = clock_.now();
@@ -192,53 +201,53 @@
         changed.push_back(each);
         drains_.push_back({version_, now, up_ ? now : Time::max(), each.id});
     }
-    for (int client = 0; client < static_cast<int>(links_.size()); ++client) {
-        if (link(client).state != State::watching) continue;
-        if (settings_.ends_instead_of_telling) {
-            lose_watch(client, ToldRecord::Cause::ended, ListKind::closed);
+    for (int client = 0; client < static_cast<int>(sessions_.size()); ++client) {
+        if (session(client).state != State::watching) continue;
+        if (settings_.ends_watches_on_change) {
+            end_watch(client, NotificationRecord::Cause::ended, ListKind::closed);
         } else {
-            tell(client, changed);
+            send_change(client, changed);
         }
     }
 }
 
-void ModelledDiscovery::tell(int client, const std::vector<UpstreamEntry>& changed) {
-    Link& watcher = link(client);
-    watcher.spoke_at = clock_.now();
+void ModelledDiscovery::send_change(int client, const std::vector<UpstreamEntry>& changed) {
+    Session& watcher = session(client);
+    watcher.last_sent_at = clock_.now();
     watcher.record.list_delivered(clock_.now(), version_);
     watcher.client->on_list(ListKind::delta, changed, version_);
 }
 
 void ModelledDiscovery::silence_watches() {
     const Time now = clock_.now();
-    for (int client = 0; client < static_cast<int>(links_.size()); ++client) {
-        Link& watcher = link(client);
+    for (int client = 0; client < static_cast<int>(sessions_.size()); ++client) {
+        Session& watcher = session(client);
         if (watcher.state != State::watching) continue;
         watcher.state = State::silent;
-        watcher.record.watch_lost(now, ToldRecord::Cause::fell_silent);
-        const auto words = (now - watcher.spoke_at) / settings_.word_gap;
-        const Time last_word = watcher.spoke_at + words * settings_.word_gap;
-        schedule(client, last_word + watch_silence, &ModelledDiscovery::report_silence);
+        watcher.record.watch_lost(now, NotificationRecord::Cause::fell_silent);
+        const auto message_count = (now - watcher.last_sent_at) / settings_.keep_alive_interval;
+        const Time last_message_at = watcher.last_sent_at + message_count * settings_.keep_alive_interval;
+        schedule(client, last_message_at + watch_silence, &ModelledDiscovery::report_silence);
     }
 }
 
 // Does not call watch_lost() again: the period without a watch began when the watch fell silent.
 void ModelledDiscovery::report_silence(int client) {
-    Link& watcher = link(client);
+    Session& watcher = session(client);
     watcher.state = State::idle;
     ++watcher.serial;
     watcher.client->on_list(ListKind::silent, {}, 0);
 }
 
 void ModelledDiscovery::move(Micros span) {
-    const auto count = static_cast<Micros::rep>(links_.size());
-    for (int client = 0; client < static_cast<int>(links_.size()); ++client) {
-        clock_.after(span * client / count, [this, client] { reach_at_new_address(client); });
+    const auto count = static_cast<Micros::rep>(sessions_.size());
+    for (int client = 0; client < static_cast<int>(sessions_.size()); ++client) {
+        clock_.after(span * client / count, [this, client] { end_watch_on_move(client); });
     }
 }
 
-void ModelledDiscovery::reach_at_new_address(int client) {
-    lose_watch(client, ToldRecord::Cause::moved, ListKind::moved);
+void ModelledDiscovery::end_watch_on_move(int client) {
+    end_watch(client, NotificationRecord::Cause::moved, ListKind::moved);
 }
 
 std::vector<UpstreamEntry> ModelledDiscovery::ready_upstreams() const {
@@ -250,16 +259,16 @@
 }
 
 bool ModelledDiscovery::all_watching() const {
-    return std::all_of(links_.begin(), links_.end(),
-                       [](const Link& each) { return each.state == State::watching; });
+    return std::all_of(sessions_.begin(), sessions_.end(),
+                       [](const Session& each) { return each.state == State::watching; });
 }
 
-std::optional<Time> ModelledDiscovery::newest_heard_by_all_at() const {
+std::optional<Time> ModelledDiscovery::newest_list_delivered_to_all_at() const {
     Time last{};
-    for (const Link& each : links_) {
-        const auto heard = each.record.delivered_at(version_);
-        if (!heard) return {};
-        last = std::max(last, *heard);
+    for (const Session& each : sessions_) {
+        const auto delivered_at = each.record.delivered_at(version_);
+        if (!delivered_at) return {};
+        last = std::max(last, *delivered_at);
     }
     return last;
 }
@@ -269,8 +278,8 @@
 namespace {
 
 std::uint64_t instance_seed(const FleetSettings& fleet, int rank) {
-    constexpr std::uint64_t most_instances = 100'000;
-    return fleet.seed * most_instances + static_cast<std::uint64_t>(rank) + 1;
+    constexpr std::uint64_t max_instances = 100'000;
+    return fleet.seed * max_instances + static_cast<std::uint64_t>(rank) + 1;
 }
 
 std::vector<int> all_ranks(int instances) {
@@ -282,8 +291,8 @@
 }  // namespace
 
 std::vector<UpstreamEntry> upstreams_for(int instances) {
-    constexpr int least = 12;
-    const int count = std::max(least, instances / 8);
+    constexpr int min_count = 12;
+    const int count = std::max(min_count, instances / 8);
     std::vector<UpstreamEntry> upstreams(static_cast<std::size_t>(count));
     for (int i = 0; i < count; ++i) {
         UpstreamEntry& each = upstreams[static_cast<std::size_t>(i)];
@@ -322,17 +331,17 @@
 
 ModelledInstance::ModelledInstance(SimulatedClock& clock, ModelledDiscovery& discovery,
                                    const FleetSettings& settings, int rank,
-                                   const std::vector<UpstreamEntry>& known)
+                                   const std::vector<UpstreamEntry>& initial_list)
     : clock_(clock), discovery_(discovery), settings_(settings), client_(discovery.add_client(*this)) {
     policy_ = std::make_unique<Policy>(instance_settings(settings, rank), instance_seed(settings, rank),
                                        clock.now(), *this);
-    policy_->on_list(clock.now(), ListKind::cached, known);
+    policy_->on_list(clock.now(), ListKind::cached, initial_list);
     // The instances send their requests at different times, as real ones do.
-    clock_.after(settings.request_gap * rank / settings.instances, [this] { send_request(); });
+    clock_.after(settings.request_interval * rank / settings.instances, [this] { send_request(); });
 }
 
 void ModelledInstance::send_request() {
-    clock_.after(settings_.request_gap, [this] { send_request(); });
+    clock_.after(settings_.request_interval, [this] { send_request(); });
     Request request;
     request.id = ++last_request_;
     request.deadline = clock_.now() + std::chrono::seconds(1);
@@ -344,7 +353,7 @@
     const Time now = clock_.now();
     submits_.push_back({now, upstream, send_by});
     const int attempt = attempts_[request]++;
-    clock_.after(settings_.answer_after,
+    clock_.after(settings_.response_delay,
                  [this, request, attempt, upstream, now] { end_attempt(request, attempt, upstream, now); });
 }
 
@@ -361,13 +370,13 @@
     policy_->on_attempt_end(clock_.now(), end);
 }
 
-void ModelledInstance::turn_away(RequestId request) {
-    turned_away_.push_back(clock_.now());
+void ModelledInstance::record_unserved(RequestId request) {
+    unserved_at_.push_back(clock_.now());
     attempts_.erase(request);
 }
 
-void ModelledInstance::refuse(RequestId request, Micros) { turn_away(request); }
-void ModelledInstance::fail(RequestId request) { turn_away(request); }
+void ModelledInstance::refuse(RequestId request, Micros) { record_unserved(request); }
+void ModelledInstance::fail(RequestId request) { record_unserved(request); }
 void ModelledInstance::cancel(RequestId request, int attempt) { cancelled_[{request, attempt}] = true; }
 
 void ModelledInstance::probe(UpstreamId) { throw std::logic_error("probes are not allowed here"); }
@@ -378,11 +387,11 @@
 }
 
 void ModelledInstance::watch() { discovery_.call(client_); }
-void ModelledInstance::unwatch() { discovery_.hang_up(client_); }
+void ModelledInstance::unwatch() { discovery_.disconnect(client_); }
 
 void ModelledInstance::on_list(ListKind kind, const std::vector<UpstreamEntry>& entries,
                                std::uint64_t version) {
-    heard_.push_back({clock_.now(), kind});
+    received_.push_back({clock_.now(), kind});
     policy_->on_list(clock_.now(), kind, entries, version);
 }
 
@@ -403,36 +412,37 @@
 
 ModelledFleet::ModelledFleet(SimulatedClock& clock, ModelledDiscovery& discovery,
                              const FleetSettings& settings, const std::vector<int>& ranks,
-                             const std::vector<UpstreamEntry>& known)
+                             const std::vector<UpstreamEntry>& initial_list)
     : discovery_(discovery), settings_(settings) {
     for (const int rank : ranks) {
-        instances_.push_back(std::make_unique<ModelledInstance>(clock, discovery, settings, rank, known));
+        instances_.push_back(
+            std::make_unique<ModelledInstance>(clock, discovery, settings, rank, initial_list));
     }
 }
 
-std::vector<DrainBreach> ModelledFleet::drain_breaches(Micros slack) const {
-    std::vector<DrainBreach> breaches;
+std::vector<DrainViolation> ModelledFleet::drain_violations(Micros tolerance) const {
+    std::vector<DrainViolation> violations;
     for (int instance = 0; instance < static_cast<int>(instances_.size()); ++instance) {
         std::unordered_map<UpstreamId, Time> last_allowed;
         for (const DrainChange& drain : discovery_.drains()) {
-            last_allowed[drain.upstream] = discovery_.told_at(instance, drain) + settings_.drain_grace;
+            last_allowed[drain.upstream] = discovery_.notified_at(instance, drain) + settings_.drain_grace;
         }
         for (const auto& submit : instances_[static_cast<std::size_t>(instance)]->submits()) {
             const auto found = last_allowed.find(submit.upstream);
             if (found == last_allowed.end()) continue;
-            const bool sent_late = submit.at > found->second + slack;
-            if (!sent_late && submit.send_by <= found->second + slack) continue;
-            const auto kind = sent_late ? DrainBreach::Kind::submit : DrainBreach::Kind::send_by;
+            const bool sent_late = submit.at > found->second + tolerance;
+            if (!sent_late && submit.send_by <= found->second + tolerance) continue;
+            const auto kind = sent_late ? DrainViolation::Kind::submit : DrainViolation::Kind::send_by;
             const Time broken_at = sent_late ? submit.at : submit.send_by;
-            breaches.push_back({kind, instance, submit.upstream, submit.at, broken_at - found->second});
+            violations.push_back({kind, instance, submit.upstream, submit.at, broken_at - found->second});
         }
     }
-    return breaches;
+    return violations;
 }
 
-std::size_t ModelledFleet::turned_away() const {
+std::size_t ModelledFleet::unserved_count() const {
     std::size_t count = 0;
-    for (const auto& instance : instances_) count += instance->turned_away().size();
+    for (const auto& instance : instances_) count += instance->unserved_at().size();
     return count;
 }
 
--- a/tests/modelled_discovery.h
+++ b/tests/modelled_discovery.h
@@ -1,10 +1,10 @@
 // Simulates a discovery service and a fleet of Policy instances that use it, in simulated time: no sockets,
 // no threads, no real clock. The same settings and seeds always give the same run.
 //
-//   SimulatedClock      the event queue, on which everything below schedules events
-//   ModelledDiscovery   serves watch calls in order, sends changes, and simulates several kinds of failure
-//   ToldRecord          when a change counts as notified to one client, by the operators' terms
-//   ModelledFleet       many Policy instances, each with its timers and a constant low rate of requests
+//   SimulatedClock       the event queue, on which everything below schedules events
+//   ModelledDiscovery    serves watch calls in order, sends changes, and simulates several kinds of failure
+//   NotificationRecord   when a change counts as notified to one client, by the operators' terms
+//   ModelledFleet        many Policy instances, each with its timers and a constant low rate of requests
 #pragma once
 
 #include <cstdint>
@@ -63,7 +63,7 @@
 };
 
 // Delays after which a change counts as notified to a client that has not received it.
-struct ToldTerms {
+struct NotificationDelays {
     // After a watch has ended while discovery was up, unless a call has failed since.
     Micros after_watch_ended = std::chrono::seconds(2);
     Micros after_silence = std::chrono::seconds(6);  // from the moment at which the watch fell silent
@@ -74,12 +74,14 @@
 
 // Records which lists one client received and when it had no watch, from which follows when a change counts
 // as notified to it.
-class ToldRecord {
+class NotificationRecord {
 public:
     // Why a client has no watch on which it could receive changes.
     enum class Cause { never_watched, ended, discovery_down, fell_silent, moved };
 
-    explicit ToldRecord(Time start) { gaps_.push_back({Cause::never_watched, start, {}, {}}); }
+    explicit NotificationRecord(Time start) {
+        unwatched_periods_.push_back({Cause::never_watched, start, {}, {}});
+    }
 
     void list_delivered(Time now, std::uint64_t version);
     void watch_began(Time now);
@@ -89,11 +91,11 @@
     // Returns when a list of this version or a later one was delivered, if one was.
     std::optional<Time> delivered_at(std::uint64_t version) const;
     // Returns when the change counts as notified, whether it was delivered or not.
-    Time told_at(const DrainChange& change, const ToldTerms& terms) const;
+    Time notified_at(const DrainChange& change, const NotificationDelays& delays) const;
 
 private:
     // A period without a watch.
-    struct Gap {
+    struct UnwatchedPeriod {
         Cause cause;
         Time began;
         std::optional<Time> first_failed_call;
@@ -104,39 +106,42 @@
         std::uint64_t version;
     };
 
-    static std::optional<Time> told_in(const Gap& gap, Time made_at, const ToldTerms& terms);
+    static std::optional<Time> notified_in(const UnwatchedPeriod& period, Time made_at,
+                                           const NotificationDelays& delays);
 
-    std::vector<Gap> gaps_;
+    std::vector<UnwatchedPeriod> unwatched_periods_;
     std::vector<Delivery> deliveries_;
 };
 
 // --------------------------------------------------------------------------------------------- discovery
 
 // What discovery does with a call that would wait longer than the time-out.
-enum class Overload {
-    refuse_at_once,  // it is rejected after `refusal_delay` and uses no capacity
-    work_off         // it is queued, fails at the time-out and is still processed later
+enum class OverloadHandling {
+    reject_immediately,  // it is rejected after `rejection_delay` and uses no capacity
+    process_timed_out    // it is queued, fails at the time-out and is still processed later
 };
 
 // When a call made while discovery is down fails; it fails with status 503 in either case.
-enum class CallWhileDown { hangs, is_refused_at_once };
+enum class CallWhileDown { times_out, is_rejected_immediately };
 
+// Settings of the simulated discovery, which serves calls one after another at `calls_per_s`.
 struct DiscoverySettings {
     double calls_per_s = 1000;
     Micros call_timeout = std::chrono::seconds(2);
-    Micros refusal_delay = std::chrono::milliseconds(5);
+    Micros rejection_delay = std::chrono::milliseconds(5);
     // Interval of the empty keep-alive lines on a watch that has nothing to send.
-    Micros word_gap = std::chrono::seconds(2);
-    Overload overload = Overload::refuse_at_once;
-    CallWhileDown while_down = CallWhileDown::hangs;
-    bool ends_instead_of_telling = false;  // a change ends all watches and is not sent on them
-    ToldTerms terms;
+    Micros keep_alive_interval = std::chrono::seconds(2);
+    OverloadHandling overload = OverloadHandling::reject_immediately;
+    CallWhileDown while_down = CallWhileDown::times_out;
+    bool ends_watches_on_change = false;  // a change ends all watches and is not sent on them
+    NotificationDelays notification_delays;
 };
 
 // A balancer as discovery sees it. Called from inside events of the clock.
 class DiscoveryClient {
 public:
     virtual ~DiscoveryClient() = default;
+    // Receives a list or change, or a failure without entries and with version 0.
     virtual void on_list(ListKind kind, const std::vector<UpstreamEntry>& entries, std::uint64_t version) = 0;
 };
 
@@ -151,11 +156,15 @@
     int add_client(DiscoveryClient& client);
     // Starts a watch call; does nothing while the client has an open call or watch.
     void call(int client);
-    void hang_up(int client);
+    // Ends the client's call or watch, if it has one.
+    void disconnect(int client);
 
     void set_calls_per_s(double calls_per_s) { settings_.calls_per_s = calls_per_s; }
+    // Ends all watches with `ListKind::failed`. Calls fail from now on until recover().
     void go_down();
-    void come_back();
+    void recover();
+    // Marks the upstreams as draining in a new version of the list, and sends the change on all watches or,
+    // if `ends_watches_on_change` is set, closes the watches.
     void drain(const std::vector<UpstreamId>& upstreams);
     // Makes all established watches fall silent. Their hosts detect it `watch_silence` after the last
     // message.
@@ -166,13 +175,16 @@
 
     const std::vector<UpstreamEntry>& upstreams() const { return upstreams_; }
     const std::vector<DrainChange>& drains() const { return drains_; }
-    const ToldRecord& record(int client) const { return links_[static_cast<std::size_t>(client)].record; }
-    Time told_at(int client, const DrainChange& drain) const {
-        return record(client).told_at(drain, settings_.terms);
+    const NotificationRecord& record(int client) const {
+        return sessions_[static_cast<std::size_t>(client)].record;
+    }
+    // Returns when the drain counts as notified to the client.
+    Time notified_at(int client, const DrainChange& drain) const {
+        return record(client).notified_at(drain, settings_.notification_delays);
     }
     bool all_watching() const;
     // Returns the time at which the last client first received the newest list; none if a client has not yet.
-    std::optional<Time> newest_heard_by_all_at() const;
+    std::optional<Time> newest_list_delivered_to_all_at() const;
     std::uint64_t calls_made() const { return calls_made_; }
     std::uint64_t calls_failed() const { return calls_failed_; }
 
@@ -180,47 +192,49 @@
     enum class State { idle, calling, watching, silent };
 
     // A client's open call or watch. Events scheduled under an earlier serial are ignored.
-    struct Link {
+    struct Session {
         DiscoveryClient* client = nullptr;
         State state = State::idle;
         std::uint64_t serial = 0;
         Time called_at{};
-        Time spoke_at{};  // last list or change sent on the watch
-        ToldRecord record;
+        Time last_sent_at{};  // last list or change sent on the watch
+        NotificationRecord record;
     };
 
-    Link& link(int client) { return links_[static_cast<std::size_t>(client)]; }
+    Session& session(int client) { return sessions_[static_cast<std::size_t>(client)]; }
     Micros service_time() const;
     void schedule(int client, Time due, void (ModelledDiscovery::*event)(int));
-    void answer(int client);
+    void respond(int client);
     void fail_call(int client);
-    void lose_watch(int client, ToldRecord::Cause cause, ListKind kind);
+    void end_watch(int client, NotificationRecord::Cause cause, ListKind kind);
     void report_silence(int client);
-    void tell(int client, const std::vector<UpstreamEntry>& changed);
-    void reach_at_new_address(int client);
+    void send_change(int client, const std::vector<UpstreamEntry>& changed);
+    void end_watch_on_move(int client);
     std::vector<UpstreamEntry> ready_upstreams() const;
 
     SimulatedClock& clock_;
     DiscoverySettings settings_;
     std::vector<UpstreamEntry> upstreams_;
-    std::vector<Link> links_;
+    std::vector<Session> sessions_;
     std::vector<DrainChange> drains_;
     std::uint64_t version_ = 1;
     bool up_ = true;
-    Time free_at_{};  // when the calls queued so far will have been processed
+    Time queue_empty_at_{};  // when the calls queued so far will have been processed
     std::uint64_t calls_made_ = 0;
     std::uint64_t calls_failed_ = 0;
 };
 
 // ------------------------------------------------------------------------------------------------- fleet
 
+// Settings of a fleet. Each instance gets a request every `request_interval`; an attempt takes
+// `response_delay`.
 struct FleetSettings {
     int instances = 12;
     int zones = 2;
     Micros drain_grace = std::chrono::milliseconds(500);
     Micros ask_within = std::chrono::seconds(10);
-    Micros request_gap = std::chrono::milliseconds(50);
-    Micros answer_after = std::chrono::milliseconds(10);
+    Micros request_interval = std::chrono::milliseconds(50);
+    Micros response_delay = std::chrono::milliseconds(10);
     std::uint64_t seed = 1;
 };
 
@@ -239,22 +253,21 @@
         Time send_by;
     };
 
-    // `known` is the list that the instance starts with. Borrows `clock` and `discovery`.
+    // `initial_list` is the list that the instance starts with. Borrows `clock` and `discovery`.
     ModelledInstance(SimulatedClock& clock, ModelledDiscovery& discovery, const FleetSettings& settings,
-                     int rank, const std::vector<UpstreamEntry>& known);
+                     int rank, const std::vector<UpstreamEntry>& initial_list);
 
     // A list, change or failure received from discovery.
-    struct Heard {
+    struct Received {
         Time at;
         ListKind kind;
-        bool operator==(const Heard&) const = default;
+        bool operator==(const Received&) const = default;
     };
 
     const std::vector<Submit>& submits() const { return submits_; }
-    const std::vector<Heard>& heard() const { return heard_; }
-    const std::vector<Time>& turned_away() const {
-        return turned_away_;
-    }  // times of refused or failed requests
+    const std::vector<Received>& received() const { return received_; }
+    // Returns the times at which requests were refused or failed.
+    const std::vector<Time>& unserved_at() const { return unserved_at_; }
     // Returns the longest time without a submit between `from` and now.
     Micros longest_pause(Time from) const;
 
@@ -276,7 +289,7 @@
 private:
     void send_request();
     void end_attempt(RequestId request, int attempt, UpstreamId upstream, Time sent_at);
-    void turn_away(RequestId request);
+    void record_unserved(RequestId request);
 
     SimulatedClock& clock_;
     ModelledDiscovery& discovery_;
@@ -287,12 +300,12 @@
     std::unordered_map<RequestId, int> attempts_;  // number of attempts so far, by open request
     std::map<std::pair<RequestId, int>, bool> cancelled_;
     std::vector<Submit> submits_;
-    std::vector<Heard> heard_;
-    std::vector<Time> turned_away_;
+    std::vector<Received> received_;
+    std::vector<Time> unserved_at_;
 };
 
 // A submit that breaks the rule that no work is sent to a draining upstream after the drain grace.
-struct DrainBreach {
+struct DrainViolation {
     // What was too late: the submit itself, or only the `send_by` up to which it may still be sent.
     enum class Kind { submit, send_by };
     Kind kind;
@@ -308,15 +321,15 @@
 public:
     // Starts the instances of all ranks with discovery's present list.
     ModelledFleet(SimulatedClock& clock, ModelledDiscovery& discovery, const FleetSettings& settings);
-    // Starts the instances of `ranks` with the list `known`, which may be older than discovery's.
+    // Starts the instances of `ranks` with the list `initial_list`, which may be older than discovery's.
     ModelledFleet(SimulatedClock& clock, ModelledDiscovery& discovery, const FleetSettings& settings,
-                  const std::vector<int>& ranks, const std::vector<UpstreamEntry>& known);
+                  const std::vector<int>& ranks, const std::vector<UpstreamEntry>& initial_list);
 
     const std::vector<std::unique_ptr<ModelledInstance>>& instances() const { return instances_; }
     // Returns the submits that are made, or by their `send_by` may still be sent, later than the drain grace
-    // and `slack` after the drain counts as notified.
-    std::vector<DrainBreach> drain_breaches(Micros slack) const;
-    std::size_t turned_away() const;
+    // and `tolerance` after the drain counts as notified.
+    std::vector<DrainViolation> drain_violations(Micros tolerance) const;
+    std::size_t unserved_count() const;  // refused and failed requests of all instances
     std::size_t submits() const;
     Micros longest_pause(Time from) const;  // the longest of any instance
 
--- a/tests/modelled_discovery_test.cpp
+++ b/tests/modelled_discovery_test.cpp
@@ -29,37 +29,37 @@
     EXPECT_EQ(clock.now(), start + milliseconds(5));
 }
 
-TEST(ToldRecord, CountsAChangeAsToldByWhatTheClientHeardAndHowItLostItsWatch) {
-    using Cause = ToldRecord::Cause;
+TEST(NotificationRecord, DependsOnDeliveriesAndOnHowTheWatchWasLost) {
+    using Cause = NotificationRecord::Cause;
     const Time start = seconds(100), lost = seconds(110), made = lost + milliseconds(500);
-    const ToldTerms terms;
+    const NotificationDelays delays;
     const DrainChange change{2, made, made, 1};
     const auto watched_until_lost = [&](Cause cause) {
-        ToldRecord record(start);
+        NotificationRecord record(start);
         record.list_delivered(start, 1);
         record.watch_began(start);
         record.watch_lost(lost, cause);
         return record;
     };
-    EXPECT_EQ(ToldRecord(start).told_at(change, terms), made + seconds(6));
-    EXPECT_EQ(watched_until_lost(Cause::discovery_down).told_at(change, terms), made + seconds(6));
-    EXPECT_EQ(watched_until_lost(Cause::ended).told_at(change, terms), lost + seconds(2));
-    EXPECT_EQ(watched_until_lost(Cause::fell_silent).told_at(change, terms), lost + seconds(6));
-    EXPECT_EQ(watched_until_lost(Cause::moved).told_at(change, terms), lost + seconds(4));
-
-    ToldRecord excused = watched_until_lost(Cause::ended);
-    excused.call_failed(lost + seconds(1));
-    EXPECT_EQ(excused.told_at(change, terms), made + seconds(6));
-    ToldRecord excused_too_late = watched_until_lost(Cause::ended);
-    excused_too_late.call_failed(lost + seconds(3));
-    EXPECT_EQ(excused_too_late.told_at(change, terms), lost + seconds(2));
-
-    ToldRecord answered = watched_until_lost(Cause::ended);
-    answered.list_delivered(lost + seconds(1), 2);
-    answered.watch_began(lost + seconds(1));
-    EXPECT_EQ(answered.told_at(change, terms), lost + seconds(1));
+    EXPECT_EQ(NotificationRecord(start).notified_at(change, delays), made + seconds(6));
+    EXPECT_EQ(watched_until_lost(Cause::discovery_down).notified_at(change, delays), made + seconds(6));
+    EXPECT_EQ(watched_until_lost(Cause::ended).notified_at(change, delays), lost + seconds(2));
+    EXPECT_EQ(watched_until_lost(Cause::fell_silent).notified_at(change, delays), lost + seconds(6));
+    EXPECT_EQ(watched_until_lost(Cause::moved).notified_at(change, delays), lost + seconds(4));
+
+    NotificationRecord failed_in_time = watched_until_lost(Cause::ended);
+    failed_in_time.call_failed(lost + seconds(1));
+    EXPECT_EQ(failed_in_time.notified_at(change, delays), made + seconds(6));
+    NotificationRecord failed_too_late = watched_until_lost(Cause::ended);
+    failed_too_late.call_failed(lost + seconds(3));
+    EXPECT_EQ(failed_too_late.notified_at(change, delays), lost + seconds(2));
+
+    NotificationRecord reconnected = watched_until_lost(Cause::ended);
+    reconnected.list_delivered(lost + seconds(1), 2);
+    reconnected.watch_began(lost + seconds(1));
+    EXPECT_EQ(reconnected.notified_at(change, delays), lost + seconds(1));
     const DrainChange made_while_down{2, made, made + seconds(9), 1};
-    EXPECT_EQ(ToldRecord(start).told_at(made_while_down, terms), made + seconds(15));
+    EXPECT_EQ(NotificationRecord(start).notified_at(made_while_down, delays), made + seconds(15));
 }
 
 // Records everything received from discovery.
@@ -67,15 +67,15 @@
 public:
     explicit RecordingClient(SimulatedClock& clock) : clock_(clock) {}
     void on_list(ListKind kind, const std::vector<UpstreamEntry>& entries, std::uint64_t) override {
-        heard.push_back({kind, clock_.now(), entries.size()});
+        received.push_back({kind, clock_.now(), entries.size()});
     }
 
-    struct Heard {
+    struct Received {
         ListKind kind;
         Time at;
         std::size_t entries;
     };
-    std::vector<Heard> heard;
+    std::vector<Received> received;
 
 private:
     SimulatedClock& clock_;
@@ -83,7 +83,7 @@
 
 // Makes four calls at the same time to a discovery that serves one call a second with a time-out of 2 s, and
 // a fifth 2.5 s later. Returns what each client received, at times counted from the first calls.
-std::vector<RecordingClient::Heard> heard_under(Overload overload) {
+std::vector<RecordingClient::Received> received_under(OverloadHandling overload) {
     SimulatedClock clock;
     DiscoverySettings settings;
     settings.calls_per_s = 1;
@@ -96,44 +96,44 @@
     clock.run_for(milliseconds(2500));
     discovery.call(4);
     clock.run_for(seconds(10));
-    std::vector<RecordingClient::Heard> heard;
+    std::vector<RecordingClient::Received> received;
     for (const RecordingClient& each : clients) {
-        EXPECT_EQ(each.heard.size(), 1u);
-        if (each.heard.empty()) return {};
-        heard.push_back(each.heard[0]);
-        heard.back().at -= start;
+        EXPECT_EQ(each.received.size(), 1u);
+        if (each.received.empty()) return {};
+        received.push_back(each.received[0]);
+        received.back().at -= start;
     }
-    return heard;
+    return received;
 }
 
-TEST(ModelledDiscovery, RefusesAtOnceWhatWouldWaitTooLong) {
-    const auto heard = heard_under(Overload::refuse_at_once);
-    ASSERT_EQ(heard.size(), 5u);
-    EXPECT_EQ(heard[0].at, seconds(1));
-    EXPECT_EQ(heard[1].at, seconds(2));
-    EXPECT_EQ(heard[1].kind, ListKind::full);
+TEST(ModelledDiscovery, RejectsImmediatelyCallsThatWouldTimeOut) {
+    const auto received = received_under(OverloadHandling::reject_immediately);
+    ASSERT_EQ(received.size(), 5u);
+    EXPECT_EQ(received[0].at, seconds(1));
+    EXPECT_EQ(received[1].at, seconds(2));
+    EXPECT_EQ(received[1].kind, ListKind::full);
     for (const int late : {2, 3}) {
-        EXPECT_EQ(heard[static_cast<std::size_t>(late)].kind, ListKind::failed);
-        EXPECT_EQ(heard[static_cast<std::size_t>(late)].at, milliseconds(5));
+        EXPECT_EQ(received[static_cast<std::size_t>(late)].kind, ListKind::failed);
+        EXPECT_EQ(received[static_cast<std::size_t>(late)].at, milliseconds(5));
     }
-    EXPECT_EQ(heard[4].kind, ListKind::full);  // no call is queued before it
-    EXPECT_EQ(heard[4].at, milliseconds(3500));
+    EXPECT_EQ(received[4].kind, ListKind::full);  // no call is queued before it
+    EXPECT_EQ(received[4].at, milliseconds(3500));
 }
 
-TEST(ModelledDiscovery, WorksOffWhatHasTimedOut) {
-    const auto heard = heard_under(Overload::work_off);
-    ASSERT_EQ(heard.size(), 5u);
-    EXPECT_EQ(heard[1].at, seconds(2));
-    EXPECT_EQ(heard[1].kind, ListKind::full);
+TEST(ModelledDiscovery, ProcessesCallsThatHaveTimedOut) {
+    const auto received = received_under(OverloadHandling::process_timed_out);
+    ASSERT_EQ(received.size(), 5u);
+    EXPECT_EQ(received[1].at, seconds(2));
+    EXPECT_EQ(received[1].kind, ListKind::full);
     for (const int late : {2, 3}) {
-        EXPECT_EQ(heard[static_cast<std::size_t>(late)].kind, ListKind::failed);
-        EXPECT_EQ(heard[static_cast<std::size_t>(late)].at, seconds(2));
+        EXPECT_EQ(received[static_cast<std::size_t>(late)].kind, ListKind::failed);
+        EXPECT_EQ(received[static_cast<std::size_t>(late)].at, seconds(2));
     }
-    EXPECT_EQ(heard[4].kind, ListKind::failed);  // the two calls that failed are queued before it
-    EXPECT_EQ(heard[4].at, milliseconds(4500));
+    EXPECT_EQ(received[4].kind, ListKind::failed);  // the two calls that failed are queued before it
+    EXPECT_EQ(received[4].at, milliseconds(4500));
 }
 
-TEST(ModelledDiscovery, TellsDrainsAndLeavesThemOutOfWholeLists) {
+TEST(ModelledDiscovery, SendsDrainsAndOmitsThemFromFullLists) {
     SimulatedClock clock;
     ModelledDiscovery discovery(clock, {}, upstreams_for(1));
     RecordingClient watching(clock), calling_later(clock);
@@ -144,15 +144,15 @@
     discovery.drain({1, 2});
     discovery.call(1);
     clock.run_for(seconds(1));
-    ASSERT_EQ(watching.heard.size(), 2u);
-    EXPECT_EQ(watching.heard[0].entries, 12u);
-    EXPECT_EQ(watching.heard[1].kind, ListKind::delta);
-    EXPECT_EQ(watching.heard[1].entries, 2u);
-    ASSERT_EQ(calling_later.heard.size(), 1u);
-    EXPECT_EQ(calling_later.heard[0].entries, 10u);
+    ASSERT_EQ(watching.received.size(), 2u);
+    EXPECT_EQ(watching.received[0].entries, 12u);
+    EXPECT_EQ(watching.received[1].kind, ListKind::delta);
+    EXPECT_EQ(watching.received[1].entries, 2u);
+    ASSERT_EQ(calling_later.received.size(), 1u);
+    EXPECT_EQ(calling_later.received[0].entries, 10u);
 }
 
-TEST(ModelledDiscovery, EndsWatchesAndLetsCallsHangWhileItIsDown) {
+TEST(ModelledDiscovery, EndsWatchesAndLetsCallsTimeOutWhileDown) {
     SimulatedClock clock;
     ModelledDiscovery discovery(clock, {}, upstreams_for(1));
     RecordingClient client(clock);
@@ -163,29 +163,29 @@
     discovery.go_down();
     discovery.call(0);
     clock.run_for(milliseconds(500));
-    discovery.come_back();
+    discovery.recover();
     clock.run_for(seconds(5));
-    ASSERT_EQ(client.heard.size(), 3u);
-    EXPECT_EQ(client.heard[1].kind, ListKind::failed);
-    EXPECT_EQ(client.heard[1].at, down);
-    EXPECT_EQ(client.heard[2].kind, ListKind::failed);
-    EXPECT_EQ(client.heard[2].at, down + seconds(2));
+    ASSERT_EQ(client.received.size(), 3u);
+    EXPECT_EQ(client.received[1].kind, ListKind::failed);
+    EXPECT_EQ(client.received[1].at, down);
+    EXPECT_EQ(client.received[2].kind, ListKind::failed);
+    EXPECT_EQ(client.received[2].at, down + seconds(2));
 }
 
-TEST(ModelledDiscovery, ReportsASilentWatchAfterItsLastWord) {
+TEST(ModelledDiscovery, ReportsASilentWatchAfterItsLastMessage) {
     SimulatedClock clock;
     ModelledDiscovery discovery(clock, {}, upstreams_for(1));
     RecordingClient client(clock);
     discovery.add_client(client);
     discovery.call(0);
     clock.run_for(milliseconds(5000));  // the last message was sent a second ago
-    ASSERT_EQ(client.heard.size(), 1u);
+    ASSERT_EQ(client.received.size(), 1u);
     discovery.silence_watches();
     discovery.drain({1});
     clock.run_for(seconds(10));
-    ASSERT_EQ(client.heard.size(), 2u);
-    EXPECT_EQ(client.heard[1].kind, ListKind::silent);
-    EXPECT_EQ(client.heard[1].at, client.heard[0].at + seconds(4) + watch_silence);
+    ASSERT_EQ(client.received.size(), 2u);
+    EXPECT_EQ(client.received[1].kind, ListKind::silent);
+    EXPECT_EQ(client.received[1].at, client.received[0].at + seconds(4) + watch_silence);
 }
 
 }  // namespace
