--- a/tests/fleet_restart_test.cpp
+++ b/tests/fleet_restart_test.cpp
@@ -77,19 +77,19 @@
 
 // Returns whether calls time out. With 12 instances one call takes 0.67 s, so some wait longer than the
 // time-out and their instances take that for an outage.
-bool calls_hang(const RestartCase& c) {
+bool calls_time_out(const RestartCase& c) {
     return discovery_is_slow(c) && c.instances == 12 && c.overload == OverloadHandling::process_timed_out;
 }
 
 // Returns whether the last instances receive the drains only after these count as notified and the grace has
 // passed, so that they use the old list for too long. Of 12 instances the last one calls a little sooner.
-bool heard_too_late(const RestartCase& c) {
+bool received_too_late(const RestartCase& c) {
     const Micros downtime_from = c.instances == 12 ? milliseconds(1500) : milliseconds(1000);
-    return discovery_is_slow(c) && !calls_hang(c) && c.drain_grace < seconds(1) &&
+    return discovery_is_slow(c) && !calls_time_out(c) && c.drain_grace < seconds(1) &&
            c.downtime >= downtime_from;
 }
 
-bool heard_in_time(const RestartCase& c) { return !calls_hang(c) && !heard_too_late(c); }
+bool received_in_time(const RestartCase& c) { return !calls_time_out(c) && !received_too_late(c); }
 
 std::vector<RestartCase> cases(bool (*wanted)(const RestartCase&)) {
     std::vector<RestartCase> all;
@@ -112,9 +112,11 @@
 
 std::string param_name_of(const testing::TestParamInfo<RestartCase>& info) { return name_of(info.param); }
 
-INSTANTIATE_TEST_SUITE_P(HeardInTime, FleetRestart, testing::ValuesIn(cases(heard_in_time)), param_name_of);
-INSTANTIATE_TEST_SUITE_P(HeardTooLate, FleetRestart, testing::ValuesIn(cases(heard_too_late)), param_name_of);
-INSTANTIATE_TEST_SUITE_P(CallsHang, FleetRestart, testing::ValuesIn(cases(calls_hang)), param_name_of);
+INSTANTIATE_TEST_SUITE_P(HeardInTime, FleetRestart, testing::ValuesIn(cases(received_in_time)),
+                         param_name_of);
+INSTANTIATE_TEST_SUITE_P(HeardTooLate, FleetRestart, testing::ValuesIn(cases(received_too_late)),
+                         param_name_of);
+INSTANTIATE_TEST_SUITE_P(CallsHang, FleetRestart, testing::ValuesIn(cases(calls_time_out)), param_name_of);
 
 }  // namespace
 }  // namespace flaxdoor::test
--- a/tests/list_subscription_test.cpp
+++ b/tests/list_subscription_test.cpp
@@ -181,12 +181,12 @@
         repeats.push_back(time_until_call(ended_at, 2));
     }
     // The repeated calls have to arrive before the changes missed count as notified.
-    for (auto [calls, last, apart] :
+    for (auto [calls, latest, min_spacing] :
          {std::tuple{&starts, ms(5000), ms(1000)}, {&repeats, ms(2500), ms(400)}}) {
         std::sort(calls->begin(), calls->end());
-        EXPECT_LE(calls->back(), last);
+        EXPECT_LE(calls->back(), latest);
         for (std::size_t i = 30; i < calls->size(); ++i) {
-            EXPECT_GE((*calls)[i] - (*calls)[i - 30], apart) << i;
+            EXPECT_GE((*calls)[i] - (*calls)[i - 30], min_spacing) << i;
         }
     }
 }
@@ -304,8 +304,8 @@
     }
 }
 
-// A rejection shows that discovery's queue is short or bounded, so waiting for the next round would gain
-// nothing.
+// A rejection shows that the overload is over or that discovery rejects the excess calls, so waiting for the
+// next round would gain nothing.
 TEST(ListSubscription, ARejectionAfterTimeOutsBringsTheNextCallSoon) {
     WatchingRig rig;
     rig.list(ListKind::closed, {});
