--- a/src/policy/list_subscription.cpp
+++ b/src/policy/list_subscription.cpp
@@ -79,7 +79,7 @@
     : settings_(settings),
       random_(random),
       usable_margin_(micros(us(settings.drain_grace) * usable_margin_share)) {
-    if (!settings.must_ask_list) return;
+    if (!settings.must_request_list) return;
     call_position_ = static_cast<double>(settings.rank) / settings.balancers;
     lost_at_ = now;
     notified_at_ = now + max_notification_delay;
@@ -121,8 +121,8 @@
         discovery_up_at_loss_ = true;
         // Balancers detect the silence at different times, so their calls have no common start.
         call_position_ = random_.unit();
-        on_subscription_lost(now, now - watch_silence + max_notification_delay,
-                             now - watch_silence + max_notification_delay);
+        on_subscription_lost(now, now - watch_idle_timeout + max_notification_delay,
+                             now - watch_idle_timeout + max_notification_delay);
     } else if (was_subscribed) {
         discovery_up_at_loss_ = kind == ListKind::closed;
         on_subscription_lost(now, now + notification_delay_after_end, now + max_notification_delay);
--- a/tests/fleet_discovery_test.cpp
+++ b/tests/fleet_discovery_test.cpp
@@ -322,7 +322,7 @@
     discovery->silence_watches();
     const Time silent_at = clock.now();
     drain_a_sixth();
-    check_run(silent_at + watch_silence);
+    check_run(silent_at + watch_idle_timeout);
 }
 
 // Returns whether discovery processes calls that have timed out and needs longer for a round of calls than
--- a/tests/fleet_fixture.h
+++ b/tests/fleet_fixture.h
@@ -149,7 +149,7 @@
         drain_a_sixth();
         clock.run_for(seconds(1));
         drain_a_sixth();
-        check_run(silent_at + watch_silence);  // hosts have detected the silence by then
+        check_run(silent_at + watch_idle_timeout);  // hosts have detected the silence by then
     }
 
     // Runs until every list should have arrived and every drain grace has passed, then checks the whole run.
--- a/tests/list_subscription_test.cpp
+++ b/tests/list_subscription_test.cpp
@@ -14,7 +14,7 @@
     Time last{};
     for (int rank = 0; rank < 3; ++rank) {
         Settings s = plain_settings();
-        s.must_ask_list = true;
+        s.must_request_list = true;
         s.ask_within = std::chrono::seconds(10);
         s.balancers = 3;
         s.rank = rank;
@@ -35,7 +35,7 @@
 // call.
 TEST(ListSubscription, UnansweredCallsAreRepeatedWithGrowingBackOffInTime) {
     Settings s = plain_settings();
-    s.must_ask_list = true;
+    s.must_request_list = true;
     s.ask_within = std::chrono::seconds(10);
     Rig rig(s);
     rig.list(ListKind::cached, {Rig::entry(1)});
@@ -62,7 +62,7 @@
 // exponential back-off, so that one of them arrives when the queue has room.
 TEST(ListSubscription, RejectedCallsAreRepeatedSoonWithExponentialBackOff) {
     Settings s = plain_settings();
-    s.must_ask_list = true;
+    s.must_request_list = true;
     s.ask_within = std::chrono::seconds(10);
     Rig rig(s);
     rig.list(ListKind::cached, {Rig::entry(1)});
@@ -86,7 +86,7 @@
 TEST(ListSubscription, ALongPendingCallExtendsTheUseOfTheListOnlyFromItsStart) {
     const Micros host_call_timeout = ms(4250);  // after which the host gives a call up
     Settings s = plain_settings();
-    s.must_ask_list = true;
+    s.must_request_list = true;
     s.ask_within = std::chrono::seconds(2);
     s.drain_grace = ms(500);
     Rig rig(s);
@@ -109,7 +109,7 @@
 // arrives.
 TEST(ListSubscription, NothingIsSentOnAStaleListAfterAWatchHasEnded) {
     Settings s = plain_settings();
-    s.must_ask_list = true;
+    s.must_request_list = true;
     s.ask_within = std::chrono::seconds(10);
     s.drain_grace = ms(500);
     s.balancers = 300;
@@ -139,7 +139,7 @@
 // list.
 TEST(ListSubscription, TheOldListIsUsedWhileDiscoveryIsUnreachable) {
     Settings s = plain_settings();
-    s.must_ask_list = true;
+    s.must_request_list = true;
     s.ask_within = std::chrono::seconds(10);
     s.drain_grace = ms(500);
     Rig rig(s);
@@ -161,7 +161,7 @@
 // calls before they time out. All instances start together, and later one event ends all watches.
 TEST(ListSubscription, CallsOfManyBalancersAreSpreadInTime) {
     Settings s = plain_settings();
-    s.must_ask_list = true;
+    s.must_request_list = true;
     s.ask_within = std::chrono::seconds(10);
     s.balancers = 100;
     std::vector<Time> starts, repeats;
@@ -196,7 +196,7 @@
 TEST(ListSubscription, ASilentWatchIsReplacedBeforeMissedChangesCountAsNotified) {
     for (const int balancers : {1, 300}) {
         Settings s = plain_settings();
-        s.must_ask_list = true;
+        s.must_request_list = true;
         s.ask_within = std::chrono::seconds(10);
         s.balancers = balancers;
         std::vector<Time> delays;
@@ -227,7 +227,7 @@
 
 Settings subscription_settings() {
     Settings s = plain_settings();
-    s.must_ask_list = true;
+    s.must_request_list = true;
     s.ask_within = std::chrono::seconds(10);
     s.drain_grace = ms(500);
     s.balancers = 30;
--- a/tests/modelled_discovery.cpp
+++ b/tests/modelled_discovery.cpp
@@ -227,7 +227,7 @@
         watcher.record.watch_lost(now, NotificationRecord::Cause::fell_silent);
         const auto message_count = (now - watcher.last_sent_at) / settings_.keep_alive_interval;
         const Time last_message_at = watcher.last_sent_at + message_count * settings_.keep_alive_interval;
-        schedule(client, last_message_at + watch_silence, &ModelledDiscovery::report_silence);
+        schedule(client, last_message_at + watch_idle_timeout, &ModelledDiscovery::report_silence);
     }
 }
 
@@ -312,10 +312,10 @@
     settings.zone = rank % fleet.zones;
     ClassSettings plain;
     plain.name = "plain";
-    plain.aim = milliseconds(400);
+    plain.latency_target = milliseconds(400);
     plain.deadline = milliseconds(1000);
     plain.late_worth = 0.5;
-    plain.effect = Effect::safe;
+    plain.effect = Effect::idempotent;
     settings.classes = {plain};
     settings.max_attempts = 4;
     settings.may_cancel = true;
@@ -323,7 +323,7 @@
     settings.ramp_time = seconds(8);
     settings.fall_multiple = 3;
     settings.fall_span = seconds(2);
-    settings.must_ask_list = true;
+    settings.must_request_list = true;
     settings.ask_within = fleet.ask_within;
     settings.drain_grace = fleet.drain_grace;
     return settings;
@@ -363,10 +363,10 @@
     end.request = request;
     end.attempt = attempt;
     end.outcome = cancelled ? Outcome::cancelled : Outcome::ok;
-    end.closed = !cancelled;
+    end.request_done = !cancelled;
     end.latency = clock_.now() - sent_at;
     end.upstream = upstream;
-    if (end.closed) attempts_.erase(request);
+    if (end.request_done) attempts_.erase(request);
     policy_->on_attempt_end(clock_.now(), end);
 }
 
--- a/tests/modelled_discovery.h
+++ b/tests/modelled_discovery.h
@@ -166,7 +166,7 @@
     // Marks the upstreams as draining in a new version of the list, and sends the change on all watches or,
     // if `ends_watches_on_change` is set, closes the watches.
     void drain(const std::vector<UpstreamId>& upstreams);
-    // Makes all established watches fall silent. Their hosts detect it `watch_silence` after the last
+    // Makes all established watches fall silent. Their hosts detect it `watch_idle_timeout` after the last
     // message.
     void silence_watches();
     // Moves discovery to a new address, of which the clients learn one after another, evenly over `span`.
@@ -283,7 +283,7 @@
     void unwatch() override;
     void fetch() override;
     void close_idle(UpstreamId) override {}
-    void tell(std::optional<int>, std::string_view) override {}
+    void send_message(std::optional<int>, std::string_view) override {}
     void log(std::string_view) override {}
 
 private:
--- a/tests/modelled_discovery_test.cpp
+++ b/tests/modelled_discovery_test.cpp
@@ -185,7 +185,7 @@
     clock.run_for(seconds(10));
     ASSERT_EQ(client.received.size(), 2u);
     EXPECT_EQ(client.received[1].kind, ListKind::silent);
-    EXPECT_EQ(client.received[1].at, client.received[0].at + seconds(4) + watch_silence);
+    EXPECT_EQ(client.received[1].at, client.received[0].at + seconds(4) + watch_idle_timeout);
 }
 
 }  // namespace
