--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -252,7 +252,7 @@
             set_discovery_timer();
             return;
         }
-        if (kind != ListKind::cached) subscription_.on_answer(now);
+        if (kind != ListKind::cached) subscription_.on_list_received(now);
         if (kind != ListKind::delta) {
             for (auto& upstream : upstreams_)
                 upstream.entry.state = UpstreamState::removed;  // unless it is listed below
@@ -296,13 +296,13 @@
     }
 
     void call_discovery(Time now) {
-        if (!subscription_.call_due(now)) return;
+        if (!subscription_.try_begin_call(now)) return;
         actions_.watch();
         set_discovery_timer();
     }
 
     void set_discovery_timer() {
-        actions_.set_timer(subscription_.next_call(),
+        actions_.set_timer(subscription_.next_call_at(),
                            TimerToken{discovery_timer, 0, ++discovery_serial_}.pack());
     }
 
