--- a/src/net/discovery_call.h
+++ b/src/net/discovery_call.h
@@ -29,10 +29,10 @@
 // 1 s, so that a single lost packet doesn't fail the check.
 inline constexpr std::chrono::milliseconds check_time{1750};
 // Time from the last activity of a call, or from its previous check, to the start of a check. The time limit
-// of the check then expires `watch_silence` after either, so that a call to an unreachable machine is
+// of the check then expires `watch_idle_timeout` after either, so that a call to an unreachable machine is
 // abandoned no later than a watch that has fallen silent, unless the call's own connection was established
 // late.
-inline constexpr Micros check_gap = watch_silence - check_time;
+inline constexpr Micros check_gap = watch_idle_timeout - check_time;
 // Default maximum number of reachability checks per call, each of which keeps the call open for another
 // `check_gap`. With one, a call is abandoned after 4.25 s. Most balancers then start the next call, 0.5
 // to 2.35 s later, before the 6 s after which they count as notified of the changes that they have missed.
@@ -64,8 +64,8 @@
 public:
     enum class Kind { list, watch };
 
-    // `checks`: maximum number of reachability checks. With 0, the call fails after `watch_silence` without
-    // a byte.
+    // `checks`: maximum number of reachability checks. With 0, the call fails after `watch_idle_timeout`
+    // without a byte.
     DiscoveryCall(boost::asio::io_context& loop, Kind kind, std::string target, int checks,
                   DiscoveryCallEvents& events);
 
--- a/tests/discovery_wait_test.cpp
+++ b/tests/discovery_wait_test.cpp
@@ -164,7 +164,7 @@
 constexpr Report silent_at(milliseconds at) { return {at, ListFailure::silent}; }
 constexpr Report failed_at(milliseconds at) { return {at, ListFailure::failed}; }
 
-constexpr auto silence = std::chrono::duration_cast<milliseconds>(watch_silence);
+constexpr auto silence = std::chrono::duration_cast<milliseconds>(watch_idle_timeout);
 constexpr auto gap = std::chrono::duration_cast<milliseconds>(net::check_gap);
 constexpr milliseconds in_check = gap + milliseconds(500);  // during the first check
 constexpr int checks_for_9s = 6;
@@ -303,8 +303,8 @@
 }
 
 // Guards against abandoning a call that is queued at discovery as early as a watch that has fallen silent,
-// after which the next call joins the end of the queue. That happens when `watch_silence` limits both. A call
-// to an unreachable machine receives nothing either and must still be abandoned after that time.
+// after which the next call joins the end of the queue. That happens when `watch_idle_timeout` limits both. A
+// call to an unreachable machine receives nothing either and must still be abandoned after that time.
 TEST(DiscoveryWait, ACallStaysOpenWhileItsMachineIsReachable) {
     asio::io_context loop{1};
     {
