--- a/src/net/config.h
+++ b/src/net/config.h
@@ -23,8 +23,8 @@
 
     // As the settings name them, in their order: what messages hold are these names.
     std::vector<std::string> report_fields;
-    ListNames names;
-    List known;
+    ZoneAndKindNames names;
+    UpstreamList known;
 };
 
 // Throws std::runtime_error or std::invalid_argument, saying in one line what is missing or can't be read.
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -10,52 +10,56 @@
 
 namespace {
 
-ListFailure failure_of(CallError error, bool watching) {
+ListFailure to_list_failure(CallError error, bool watching) {
     switch (error) {
-        case CallError::no_connection:
+        case CallError::connect_failed:
         case CallError::connect_timeout: return ListFailure::unreachable;
-        case CallError::cut_off:
-        case CallError::silence: return watching ? ListFailure::silent : ListFailure::failed;
-        case CallError::ended: return watching ? ListFailure::closed : ListFailure::failed;
+        case CallError::reachability_check_failed:
+        case CallError::read_timeout: return watching ? ListFailure::silent : ListFailure::failed;
+        case CallError::closed: return watching ? ListFailure::closed : ListFailure::failed;
         default: return ListFailure::failed;
     }
 }
 
 }  // namespace
 
-Discovery::Discovery(asio::io_context& loop, tcp::endpoint address, ListNames names, DiscoveryEvents& events,
-                     int checks)
-    : loop_(loop), address_(std::move(address)), names_(std::move(names)), events_(events), checks_(checks) {}
+Discovery::Discovery(asio::io_context& loop, tcp::endpoint address, ZoneAndKindNames names,
+                     DiscoveryEvents& events, int max_checks)
+    : loop_(loop),
+      address_(std::move(address)),
+      names_(std::move(names)),
+      events_(events),
+      max_checks_(max_checks) {}
 
 Discovery::~Discovery() { stop(); }
 
 void Discovery::watch() {
     if (watch_) return;
     const std::string target = "/v1/endpoints?stream=1&index=" + std::to_string(version_);
-    watch_answered_ = false;
-    watch_listed_ = false;
-    resumed_from_ = version_;
+    watch_responded_ = false;
+    watch_received_object_ = false;
+    watch_resume_version_ = version_;
     watch_ = start_call(DiscoveryCall::Kind::watch, target);
 }
 
 void Discovery::unwatch() {
-    if (watch_) watch_->drop();
+    if (watch_) watch_->cancel();
     watch_.reset();
 }
 
 void Discovery::fetch() {
     if (fetch_) return;
-    fetch_ = start_call(DiscoveryCall::Kind::list, "/v1/endpoints");
+    fetch_ = start_call(DiscoveryCall::Kind::fetch, "/v1/endpoints");
 }
 
 std::shared_ptr<DiscoveryCall> Discovery::start_call(DiscoveryCall::Kind kind, const std::string& target) {
     DiscoveryCallEvents& events = *this;
-    auto call = std::make_shared<DiscoveryCall>(loop_, kind, target, checks_, events);
+    auto call = std::make_shared<DiscoveryCall>(loop_, kind, target, max_checks_, events);
     call->start(address_);
     return call;
 }
 
-bool Discovery::move_to(const tcp::endpoint& address) {
+bool Discovery::change_address(const tcp::endpoint& address) {
     if (address == address_) return false;
     address_ = address;
     stop();
@@ -64,26 +68,26 @@
 
 void Discovery::stop() {
     unwatch();
-    if (fetch_) fetch_->drop();
+    if (fetch_) fetch_->cancel();
     fetch_.reset();
 }
 
 // The first line of a watch shows that the call has succeeded, even when it carries no object. It is
 // delivered as an empty delta.
-void Discovery::on_call_alive(DiscoveryCall&) {
-    if (!std::exchange(watch_answered_, true)) take({version_, false, {}});
+void Discovery::on_call_heartbeat(DiscoveryCall&) {
+    if (!std::exchange(watch_responded_, true)) deliver({version_, false, {}});
 }
 
-std::optional<CallProblem> Discovery::on_call_text(DiscoveryCall& call, std::string_view text) {
+std::optional<ObjectError> Discovery::on_call_object(DiscoveryCall& call, std::string_view text) {
     const bool watching = watch_.get() == &call;
-    List list;
+    UpstreamList list;
     try {
         list = parse_list(text, names_);
     } catch (const std::exception& error) {
-        return CallProblem{CallError::malformed_list, error.what()};
+        return ObjectError{CallError::malformed_list, error.what()};
     }
-    if (watching) return take_from_watch(std::move(list));
-    if (list.version >= version_) take(std::move(list));  // else the watch has already delivered a newer list
+    if (watching) return handle_watch_list(std::move(list));
+    if (list.version >= version_) deliver(std::move(list));  // else the watch has delivered a newer list
     return std::nullopt;
 }
 
@@ -92,65 +96,65 @@
 // delta can't be applied to the list held here and fails the call. Any other object with an older version
 // than the list held here, for instance because a fetch has returned a newer list meanwhile, is replaced by
 // an empty delta, which only shows that the call has succeeded.
-std::optional<CallProblem> Discovery::take_from_watch(List list) {
-    watch_answered_ = true;
-    const bool first = !std::exchange(watch_listed_, true);
-    if (first && list.version < resumed_from_) {
+std::optional<ObjectError> Discovery::handle_watch_list(UpstreamList list) {
+    watch_responded_ = true;
+    const bool first = !std::exchange(watch_received_object_, true);
+    if (first && list.version < watch_resume_version_) {
         std::string versions = std::to_string(list.version);
-        versions.append(" after ").append(std::to_string(resumed_from_));
-        forget_version();
-        if (!list.whole) return CallProblem{CallError::renumbered, versions};
+        versions.append(" after ").append(std::to_string(watch_resume_version_));
+        reset_version();
+        if (!list.full) return ObjectError{CallError::version_reset, versions};
         log(std::string("discovery: version numbers have been reset: ").append(versions));
-        keep_leaving(list);
+        keep_draining(list);
     }
     if (list.version < version_) list = {version_, false, {}};
-    take(std::move(list));
+    deliver(std::move(list));
     return std::nullopt;
 }
 
-// Also drops an open fetch: its response may still carry a version in the old numbering, and the next full
+// Also cancels an open fetch: its response may still carry a version in the old numbering, and the next full
 // list comes from a watch.
-void Discovery::forget_version() {
+void Discovery::reset_version() {
     version_ = 0;
-    if (fetch_) fetch_->drop();
+    if (fetch_) fetch_->cancel();
     fetch_.reset();
 }
 
 // Guards against a list that is older than the notice of an upstream's drain and would return it to service:
 // the upstream stays draining until it is listed with a later start time.
-void Discovery::keep_leaving(List& list) const {
+void Discovery::keep_draining(UpstreamList& list) const {
     for (ListedUpstream& each : list.upstreams) {
-        const auto leaving = leaving_.find(each.entry.id);
-        if (leaving == leaving_.end() || each.entry.started_at > leaving->second) continue;
+        const auto found = draining_.find(each.entry.id);
+        if (found == draining_.end() || each.entry.started_at > found->second) continue;
         each.entry.state = UpstreamState::draining;
     }
 }
 
-void Discovery::remember_leaving(const List& list) {
+void Discovery::record_draining(const UpstreamList& list) {
     for (const ListedUpstream& each : list.upstreams) {
         if (each.entry.state == UpstreamState::draining) {
-            leaving_[each.entry.id] = each.entry.started_at;
+            draining_[each.entry.id] = each.entry.started_at;
         } else {
-            leaving_.erase(each.entry.id);
+            draining_.erase(each.entry.id);
         }
     }
 }
 
-void Discovery::take(List list) {
+void Discovery::deliver(UpstreamList list) {
     version_ = list.version;
-    remember_leaving(list);
-    if (const auto line = failures_.answered(std::chrono::steady_clock::now())) log(*line);
+    record_draining(list);
+    if (const auto line = failure_log_.record_success(std::chrono::steady_clock::now())) log(*line);
     events_.on_list(std::move(list));
 }
 
 void Discovery::on_call_failed(DiscoveryCall& call, const CallFailure& failure) {
     const bool watching = watch_.get() == &call;
-    const std::shared_ptr<DiscoveryCall> ended = std::exchange(watching ? watch_ : fetch_, nullptr);
+    const std::shared_ptr<DiscoveryCall> ended_call = std::exchange(watching ? watch_ : fetch_, nullptr);
     const auto now = std::chrono::steady_clock::now();
-    if (const auto line = failures_.failed(now, watching ? "watch" : "fetch", failure)) log(*line);
-    events_.on_list_failed(failure_of(failure.error, watching));
+    if (const auto line = failure_log_.record_failure(now, watching ? "watch" : "fetch", failure)) log(*line);
+    events_.on_list_failed(to_list_failure(failure.error, watching));
 }
 
-void Discovery::on_call_answered(DiscoveryCall&) { fetch_.reset(); }
+void Discovery::on_call_completed(DiscoveryCall&) { fetch_.reset(); }
 
 }  // namespace flaxdoor::net
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -31,7 +31,7 @@
     virtual ~DiscoveryEvents() = default;
     // Delivers a snapshot or a delta. A delta without entries reports that discovery responds and nothing has
     // changed.
-    virtual void on_list(List list) = 0;
+    virtual void on_list(UpstreamList list) = 0;
     // Reports that a fetch or the watch has ended without success; a new one may be started.
     virtual void on_list_failed(ListFailure failure) = 0;
 };
@@ -40,48 +40,49 @@
 // loop and `events` are borrowed and must outlive the client.
 class Discovery final : private DiscoveryCallEvents {
 public:
-    // `checks`: maximum number of reachability checks per call. With 0, a call that is still queued at
+    // `max_checks`: maximum number of reachability checks per call. With 0, a call that is still queued at
     // discovery is abandoned as early as a watch that has fallen silent.
-    Discovery(boost::asio::io_context& loop, boost::asio::ip::tcp::endpoint address, ListNames names,
-              DiscoveryEvents& events, int checks = checks_most);
+    Discovery(boost::asio::io_context& loop, boost::asio::ip::tcp::endpoint address, ZoneAndKindNames names,
+              DiscoveryEvents& events, int max_checks = max_reachability_checks);
     ~Discovery() override;
 
     // Sets the version that the first watch resumes after.
-    void start_from(std::uint64_t version) { version_ = version; }
+    void resume_from(std::uint64_t version) { version_ = version; }
     // Opens a watch that resumes after the last version received. Does nothing while one is open.
     void watch();
+    // Closes the watch without an event.
     void unwatch();
     // Asks for the full list once. Does nothing while such a call is open.
     void fetch();
-    // Uses this address for calls from now on. If it differs from the previous one, drops the open calls
+    // Uses this address for calls from now on. If it differs from the previous one, cancels the open calls
     // without an event and returns true; the caller then has to start new ones.
-    bool move_to(const boost::asio::ip::tcp::endpoint& address);
-    // Drops the open calls without an event.
+    bool change_address(const boost::asio::ip::tcp::endpoint& address);
+    // Cancels the open calls without an event.
     void stop();
 
 private:
-    void on_call_alive(DiscoveryCall& call) override;
-    std::optional<CallProblem> on_call_text(DiscoveryCall& call, std::string_view text) override;
+    void on_call_heartbeat(DiscoveryCall& call) override;
+    std::optional<ObjectError> on_call_object(DiscoveryCall& call, std::string_view text) override;
     void on_call_failed(DiscoveryCall& call, const CallFailure& failure) override;
-    void on_call_answered(DiscoveryCall& call) override;
+    void on_call_completed(DiscoveryCall& call) override;
     std::shared_ptr<DiscoveryCall> start_call(DiscoveryCall::Kind kind, const std::string& target);
-    std::optional<CallProblem> take_from_watch(List list);
-    void keep_leaving(List& list) const;
-    void remember_leaving(const List& list);
-    void take(List list);
-    void forget_version();
+    std::optional<ObjectError> handle_watch_list(UpstreamList list);
+    void keep_draining(UpstreamList& list) const;
+    void record_draining(const UpstreamList& list);
+    void deliver(UpstreamList list);
+    void reset_version();
 
     boost::asio::io_context& loop_;
     boost::asio::ip::tcp::endpoint address_;
-    const ListNames names_;
+    const ZoneAndKindNames names_;
     DiscoveryEvents& events_;
-    const int checks_;
-    std::uint64_t version_ = 0;
-    std::unordered_map<UpstreamId, Time> leaving_;  // start times of upstreams listed as draining
-    CallFailures failures_;                         // since the last successful call
-    bool watch_answered_ = false;                   // the open watch has received a line
-    bool watch_listed_ = false;                     // the open watch has received an object
-    std::uint64_t resumed_from_ = 0;                // the version that the open watch resumes after
+    const int max_checks_;
+    std::uint64_t version_ = 0;                      // of the last list delivered
+    std::unordered_map<UpstreamId, Time> draining_;  // start times of upstreams listed as draining
+    CallFailureLog failure_log_;                     // since the last successful call
+    bool watch_responded_ = false;                   // the open watch has received a line
+    bool watch_received_object_ = false;             // the open watch has received an object
+    std::uint64_t watch_resume_version_ = 0;         // the version that the open watch resumes after
     std::shared_ptr<DiscoveryCall> watch_;
     std::shared_ptr<DiscoveryCall> fetch_;
 };
--- a/src/net/discovery_list.h
+++ b/src/net/discovery_list.h
@@ -13,7 +13,7 @@
 
 // Names of zones and of kinds of machine from the settings. The index of a name is the number of its zone or
 // kind.
-struct ListNames {
+struct ZoneAndKindNames {
     std::vector<std::string> zones;
     std::vector<std::string> kinds;
 };
@@ -27,18 +27,18 @@
 
 // A list of upstreams as discovery sends it: a snapshot of all of them, or a delta with those that have
 // changed.
-struct List {
+struct UpstreamList {
     std::uint64_t version = 0;  // key `seq`
-    bool whole = false;         // a snapshot; key `whole`
+    bool full = false;          // a snapshot; key `whole`
     std::vector<ListedUpstream> upstreams;
 };
 
 // Returns the id of an upstream, a hash of its name alone, so that it is the same at every balancer. The
 // policy orders upstreams by id and relies on all balancers having the same order.
-UpstreamId id_of(std::string_view name);
+UpstreamId upstream_id(std::string_view name);
 
 // Parses a list in discovery's JSON format. Throws an exception derived from std::exception on any other
 // text.
-List parse_list(std::string_view text, const ListNames& names);
+UpstreamList parse_list(std::string_view text, const ZoneAndKindNames& names);
 
 }  // namespace flaxdoor::net
--- a/src/net/host.cpp
+++ b/src/net/host.cpp
@@ -40,7 +40,7 @@
 
 // The agent that pushes lists answers at once: a call to it that hears nothing is made anew early, as the
 // policy uses a pushed list for as long as it has no newer one.
-int checks_of(const Settings& settings) { return settings.must_request_list ? checks_most : 0; }
+int checks_of(const Settings& settings) { return settings.must_request_list ? max_reachability_checks : 0; }
 
 HttpResponse refusal(Micros retry_after) {
     HttpResponse response(http::status::service_unavailable, 11);
@@ -80,7 +80,7 @@
       drain_(loop),
       figures_(loop),
       policy_(config_.settings, config_.seed, clock_.now(), *this) {
-    discovery_.start_from(config_.known.version);
+    discovery_.resume_from(config_.known.version);
     handle([this](Time now) { tell_policy(now, ListKind::cached, config_.known); });
     if (!config_.settings.must_request_list) discovery_.watch();
     clients_.listen(config_.listen);
@@ -255,13 +255,13 @@
     if (found != open_.end() && found->second.answered && found->second.in_flight == 0) open_.erase(found);
 }
 
-void Host::on_list(List list) {
+void Host::on_list(UpstreamList list) {
     handle([this, list = std::move(list)](Time now) {
-        tell_policy(now, list.whole ? ListKind::full : ListKind::delta, list);
+        tell_policy(now, list.full ? ListKind::full : ListKind::delta, list);
     });
 }
 
-void Host::tell_policy(Time now, ListKind kind, const List& list) {
+void Host::tell_policy(Time now, ListKind kind, const UpstreamList& list) {
     std::vector<UpstreamEntry> entries;
     for (const auto& u : list.upstreams) {
         upstreams_.set_address(u.entry.id, u.address);
@@ -273,7 +273,7 @@
     upstreams_.withdraw([&](AttemptKey, UpstreamId upstream) {
         const auto found = std::find_if(entries.begin(), entries.end(),
                                         [&](const UpstreamEntry& e) { return e.id == upstream; });
-        return found == entries.end() ? list.whole : found->state != UpstreamState::ready;
+        return found == entries.end() ? list.full : found->state != UpstreamState::ready;
     });
     policy_.on_list(now, kind, entries, list.version);
 }
@@ -344,7 +344,7 @@
 void Host::reconfigure(const Config& config) {
     if (drained_) return;
     net::log("configuration read anew");
-    if (!discovery_.move_to(config.discovery)) return;
+    if (!discovery_.change_address(config.discovery)) return;
     // Guards against news missed while a gap after a failed call to the old address is waited out.
     handle([this](Time now) { policy_.on_list(now, ListKind::moved, {}); });
     watch_again(Micros{0});
--- a/src/net/host.h
+++ b/src/net/host.h
@@ -78,14 +78,14 @@
     void on_attempt_result(AttemptResult result) override;
     void on_connection(AttemptKey attempt) override;
     void on_probe_result(ProbeResult result) override;
-    void on_list(List list) override;
+    void on_list(UpstreamList list) override;
     void on_list_failed(ListFailure failure) override;
 
     void send(RequestId request, UpstreamId upstream, Micros timeout, Time send_by);
     void answer(RequestId request, HttpResponse response);
     void answer_overdue(RequestId request, Time now);
     void give_up(RequestId request, Time now);
-    void tell_policy(Time now, ListKind kind, const List& list);
+    void tell_policy(Time now, ListKind kind, const UpstreamList& list);
     void watch_again(Micros gap);
     void add_timer(Timer timer);
     void arm();
--- a/tests/crossed_answers_test.cpp
+++ b/tests/crossed_answers_test.cpp
@@ -176,19 +176,19 @@
 // Behind the answer to a call stands a second one, in the same piece or in one that comes later: the next
 // call gets its own answer.
 TEST(CrossedDiscovery, ASecondAnswerToACallIsNeverTaken) {
-    const net::ListNames names{{"here", "there"}, {"full node"}};
+    const net::ZoneAndKindNames names{{"here", "there"}, {"full node"}};
     for (const bool in_one_piece : {true, false}) {
         Stage s;
-        Reports reports;
+        DiscoveryEventRecorder reports;
         net::Discovery client(s.loop, s.discovery.address(), names, reports);
         client.fetch();
-        s.until([&] { return asked(s.discovery, 1); });
+        s.until([&] { return received_request(s.discovery, 1); });
         const auto wire = s.discovery.wires[0];
         const std::string first = ok(s.list(8, true).dump()), second = ok(s.list(9, true).dump());
         wire->say(in_one_piece ? first + second : first);
         s.until([&] { return !reports.lists.empty(); });
         client.fetch();
-        s.until([&] { return asked(s.discovery, 2); });
+        s.until([&] { return received_request(s.discovery, 2); });
         if (!in_one_piece) wire->say(second);
         s.discovery.wires[1]->say(ok(s.list(10, true).dump()));
         s.until([&] { return reports.lists.size() >= 2; });
@@ -200,21 +200,21 @@
 // Behind the last chunk of a watch stands another answer: neither it nor what comes later on that connection
 // reaches the next watch.
 TEST(CrossedDiscovery, AnAnswerBehindTheEndOfAWatchIsNeverTaken) {
-    const net::ListNames names{{"here", "there"}, {"full node"}};
+    const net::ZoneAndKindNames names{{"here", "there"}, {"full node"}};
     Stage s;
-    Reports reports;
+    DiscoveryEventRecorder reports;
     net::Discovery client(s.loop, s.discovery.address(), names, reports);
     client.watch();
-    s.until([&] { return asked(s.discovery, 1); });
+    s.until([&] { return received_request(s.discovery, 1); });
     const auto wire = s.discovery.wires[0];
-    const std::string behind = watch_head + chunk(s.list(9, true).dump() + "\n");
-    wire->say(watch_head + chunk(s.list(8, true).dump() + "\n") + last_chunk + behind);
+    const std::string behind = watch_response_head + chunk(s.list(9, true).dump() + "\n");
+    wire->say(watch_response_head + chunk(s.list(8, true).dump() + "\n") + last_chunk + behind);
     s.until([&] { return !reports.failures.empty(); });
     client.watch();
-    s.until([&] { return asked(s.discovery, 2); });
+    s.until([&] { return received_request(s.discovery, 2); });
     EXPECT_TRUE(has(s.discovery.wires[1]->in, "index=8 "));
     wire->say(behind);
-    s.discovery.wires[1]->say(watch_head + chunk(s.list(10, true).dump() + "\n"));
+    s.discovery.wires[1]->say(watch_response_head + chunk(s.list(10, true).dump() + "\n"));
     s.until([&] { return reports.lists.size() >= 2; });
     EXPECT_EQ(reports.versions(), (std::vector<std::uint64_t>{8, 10}));
     EXPECT_EQ(reports.failures, std::vector{net::ListFailure::closed});
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -30,22 +30,22 @@
 // A list with an older version, a delta or a snapshot, in the middle of a watch or at the start of a new one,
 // doesn't undo a drain.
 TEST(Lists, AnOlderVersionDoesNotUndoADrain) {
-    for (const bool whole : {false, true}) {
-        for (const bool anew : {false, true}) {
+    for (const bool full : {false, true}) {
+        for (const bool new_watch : {false, true}) {
             Stage s;
             s.start();
-            s.until([&] { return asked(s.discovery, 1); });
+            s.until([&] { return received_request(s.discovery, 1); });
             auto wire = s.discovery.wires[0];
-            json news = s.list(11, false);
-            news["hosts"] = {s.upstream(0, "leaving")};
-            wire->say(watch_head + chunk(news.dump() + "\n"));
-            if (anew) {
+            json update = s.list(11, false);
+            update["hosts"] = {s.upstream(0, "leaving")};
+            wire->say(watch_response_head + chunk(update.dump() + "\n"));
+            if (new_watch) {
                 wire->close();
-                s.until([&] { return asked(s.discovery, 2); });
+                s.until([&] { return received_request(s.discovery, 2); });
                 wire = s.discovery.wires[1];
-                wire->say(watch_head);
+                wire->say(watch_response_head);
             }
-            wire->say(chunk(s.list(10, whole).dump() + "\n"));
+            wire->say(chunk(s.list(10, full).dump() + "\n"));
             settle(s);
             expect_none_to_first(s);
             s.host.reset();
@@ -61,8 +61,8 @@
         s.config["settings"]["registry_mode"] = "push";
         s.config["settings"]["invariants"]["drain_grace"] = 400.0;
         s.start();
-        s.until([&] { return asked(s.discovery, 1); });
-        s.discovery.wires[0]->say(watch_head + chunk("\n"));
+        s.until([&] { return received_request(s.discovery, 1); });
+        s.discovery.wires[0]->say(watch_response_head + chunk("\n"));
         settle(s);
         asio::steady_timer grace(s.loop, std::chrono::milliseconds(400));
         bool over = false;
@@ -72,7 +72,7 @@
             s.discovery.wires[0]->close();
         }
         grace.async_wait([&](auto) { over = true; });
-        s.until([&] { return over || asked(s.discovery, 2); });
+        s.until([&] { return over || received_request(s.discovery, 2); });
         EXPECT_FALSE(over);
         s.host.reset();
     }
@@ -108,14 +108,14 @@
 
 // Far more requests than are sent during one reuse delay, so that a balancer that pools connections has
 // reused one.
-constexpr int most_requests_before_reuse = 500;
+constexpr int max_requests_before_reuse = 500;
 
 // Sends the same request until one is sent on a connection that has carried another. Returns its client and
 // that connection, or nothing if each request has a connection of its own. All other requests are served.
-std::optional<std::pair<std::shared_ptr<Wire>, std::shared_ptr<Wire>>> one_on_a_kept_connection(
+std::optional<std::pair<std::shared_ptr<Wire>, std::shared_ptr<Wire>>> first_reused_connection(
     Stage& s, const std::string& request) {
     std::set<std::shared_ptr<Wire>> used;
-    for (int i = 0; i < most_requests_before_reuse; ++i) {
+    for (int i = 0; i < max_requests_before_reuse; ++i) {
         const auto client = s.client();
         client->say(request);
         const auto wire = s.request().first;
@@ -133,12 +133,12 @@
 TEST(Idle, ASecondAnswerLaterThanTheRestIsNeverGivenToTheNextRequest) {
     Stage s;
     s.start();
-    const auto kept = one_on_a_kept_connection(s, look());
-    if (!kept) {  // the connections then have to be closed, so that no duplicate response can come
+    const auto reused = first_reused_connection(s, look());
+    if (!reused) {  // the connections then have to be closed, so that no duplicate response can come
         s.until([&] { return s.all_ended(); });
         return;
     }
-    const auto& [client, wire] = *kept;
+    const auto& [client, wire] = *reused;
     wire->say(ok("to the one before, again"));
     EXPECT_FALSE(has(s.answer(*client), "to the one before"));
 }
@@ -146,15 +146,15 @@
 // Guards against wrong responses from an upstream that has sent a duplicate response before: each of its
 // connections carries one request from then on, so that a duplicate, however late, reaches no other request.
 TEST(Idle, AfterADuplicateResponseNoLaterOneReachesAnotherRequest) {
-    for (const bool behind_the_first : {true, false}) {
+    for (const bool in_one_write : {true, false}) {
         Stage s(1);
         s.start();
         const auto client = s.client();
         client->say(look());
         auto wire = s.request().first;
-        wire->say(behind_the_first ? ok() + ok() : ok());
+        wire->say(in_one_write ? ok() + ok() : ok());
         EXPECT_EQ(status(s.answer(*client)), 200);
-        if (!behind_the_first) wire->say(ok());
+        if (!in_one_write) wire->say(ok());
         s.until([&] { return wire->ended; });
         std::set<std::shared_ptr<Wire>> used{wire};
         for (int i = 0; i < 12; ++i) {
@@ -169,7 +169,7 @@
 }
 
 // Records the outcomes of attempts.
-struct Outcomes : net::UpstreamEvents {
+struct OutcomeRecorder : net::UpstreamEvents {
     std::vector<Outcome> all;
     void on_attempt_result(net::AttemptResult result) override { all.push_back(result.outcome); }
     void on_connection(net::AttemptKey) override {}
@@ -180,7 +180,7 @@
 // the upstream has sent no duplicate response for `single_use`.
 TEST(Idle, ConnectionsAreReusedAgainSomeTimeAfterADuplicateResponse) {
     Stage s(1);
-    Outcomes outcomes;
+    OutcomeRecorder outcomes;
     const net::Clock clock;
     net::UpstreamLimits limits{std::chrono::seconds(5), {}, 8};
     limits.single_use = std::chrono::milliseconds(300);
@@ -209,9 +209,9 @@
 TEST(Idle, ARejectionThatMayBelongToAnotherRequestIsNoProof) {
     Stage s;
     s.start();
-    const auto kept = one_on_a_kept_connection(s, once());
-    ASSERT_TRUE(kept) << "no connection was reused";
-    const auto& [client, wire] = *kept;
+    const auto reused = first_reused_connection(s, once());
+    ASSERT_TRUE(reused) << "no connection was reused";
+    const auto& [client, wire] = *reused;
     wire->say(turned_away);
     EXPECT_EQ(status(s.answer(*client)), 502);
     EXPECT_TRUE(s.nothing_sent());
@@ -221,9 +221,9 @@
 TEST(Idle, ARejectionOnAReusedConnectionRetriesASafeRequest) {
     Stage s;
     s.start();
-    const auto kept = one_on_a_kept_connection(s, look());
-    ASSERT_TRUE(kept) << "no connection was reused";
-    const auto& [client, wire] = *kept;
+    const auto reused = first_reused_connection(s, look());
+    ASSERT_TRUE(reused) << "no connection was reused";
+    const auto& [client, wire] = *reused;
     wire->say(turned_away);
     s.request().first->say(ok());
     EXPECT_EQ(status(s.answer(*client)), 200);
@@ -274,7 +274,7 @@
 // Another client's request waits for the same back-off and started later: when that one is retried, the first
 // one's back-off is over.
 TEST(ClientLeaves, NothingIsRetriedAfterABackOff) {
-    for (const std::size_t behind : {0, 400000}) {
+    for (const std::size_t extra_bytes : {0, 400000}) {
         Stage s;
         s.config["settings"]["services"][0]["aim"] = 1000.0;
         s.start();
@@ -282,13 +282,13 @@
         client->say(look(5000, "leaves"));
         s.request().first->reset();
         settle(s);
-        client->say(std::string(behind, 'x'));
+        client->say(std::string(extra_bytes, 'x'));
         settle(s);
         client->close();
         other->say(look(5000, "stays"));
         s.request().first->reset();
         const auto [wire, request] = s.request();
-        EXPECT_TRUE(has(request, "stays")) << behind;
+        EXPECT_TRUE(has(request, "stays")) << extra_bytes;
         wire->say(ok());
         EXPECT_EQ(status(s.answer(*other)), 200);
         s.host.reset();
@@ -298,24 +298,24 @@
 // The client has closed its connection, possibly after more bytes than are read in one turn, but the balancer
 // has not yet read that when it reads the outcome after which it would retry the request.
 TEST(ClientLeaves, ACloseNotYetReadIsNoticed) {
-    for (const std::size_t behind : {0, 20000}) {
+    for (const std::size_t extra_bytes : {0, 20000}) {
         Stage s;
         s.start();
         const auto client = s.client();
         client->say(look());
         const auto wire = s.request().first;
         wire->say(turned_away);
-        client->say(std::string(behind, 'x'));
+        client->say(std::string(extra_bytes, 'x'));
         client->close();
         settle(s);
-        EXPECT_TRUE(s.nothing_sent()) << behind;
-        EXPECT_EQ(s.connections(), 1U) << behind;
+        EXPECT_TRUE(s.nothing_sent()) << extra_bytes;
+        EXPECT_EQ(s.connections(), 1U) << extra_bytes;
         s.host.reset();
     }
 }
 
 // Sends requests until one waits for a connection to the slow upstream. Returns its client.
-std::shared_ptr<Wire> one_that_waits(Stage& s) {
+std::shared_ptr<Wire> client_waiting_for_connection(Stage& s) {
     for (;;) {
         const auto client = s.client();
         client->say(look());
@@ -338,7 +338,7 @@
         s.config["settings"]["limits"]["cancel"] = may_cancel;
         Slow slow(s);
         s.start();
-        const auto client = one_that_waits(s);
+        const auto client = client_waiting_for_connection(s);
         client->close();
         settle(s);
         slow.let(s);
@@ -350,7 +350,7 @@
 // The connection is established in the turn of the loop in which the client's close is noticed: an attempt
 // that is withdrawn then, before its first byte, is not sent.
 TEST(PendingConnect, AnAttemptWithdrawnOnConnectIsNotSent) {
-    struct Sink : net::UpstreamEvents {
+    struct WithdrawOnConnect : net::UpstreamEvents {
         net::Upstreams* upstreams = nullptr;
         std::optional<Outcome> outcome;
         void on_attempt_result(net::AttemptResult result) override { outcome = result.outcome; }
@@ -360,7 +360,7 @@
         void on_probe_result(ProbeResult) override {}
     };
     Stage s(1);
-    Sink sink;
+    WithdrawOnConnect sink;
     const net::Clock clock;
     net::Upstreams upstreams(s.loop, clock, {std::chrono::seconds(5), {}, 8}, {}, sink);
     sink.upstreams = &upstreams;
@@ -381,13 +381,13 @@
         allow_slow_connections(s);
         Slow slow(s);
         s.start();
-        const auto client = one_that_waits(s);
-        json news = s.list(9, how == "not named");
-        news["hosts"] = {how == "not named" ? s.upstream(1) : s.upstream(0, how.c_str())};
-        news["hosts"][0]["dial"] =
-            how == "not named" ? news["hosts"][0]["dial"] : s.config["known"]["hosts"][0]["dial"];
-        s.until([&] { return asked(s.discovery, 1); });
-        s.discovery.wires[0]->say(watch_head + chunk(news.dump() + "\n"));
+        const auto client = client_waiting_for_connection(s);
+        json update = s.list(9, how == "not named");
+        update["hosts"] = {how == "not named" ? s.upstream(1) : s.upstream(0, how.c_str())};
+        update["hosts"][0]["dial"] =
+            how == "not named" ? update["hosts"][0]["dial"] : s.config["known"]["hosts"][0]["dial"];
+        s.until([&] { return received_request(s.discovery, 1); });
+        s.discovery.wires[0]->say(watch_response_head + chunk(update.dump() + "\n"));
         settle(s);
         slow.let(s);
         for (const auto& wire : slow.wires) EXPECT_FALSE(has(wire->in, "GET")) << how;
@@ -423,11 +423,11 @@
         }
         if (!first) client->close();
     }
-    asio::steady_timer forgets(s.loop, window);
-    bool forgotten = false;
-    forgets.async_wait([&](auto) { forgotten = true; });
+    asio::steady_timer window_timer(s.loop, window);
+    bool window_over = false;
+    window_timer.async_wait([&](auto) { window_over = true; });
     first->reset();
-    s.until([&] { return forgotten; });
+    s.until([&] { return window_over; });
     slow.let(s);
     for (const auto& wire : slow.wires) EXPECT_FALSE(has(wire->in, "POST"));
     EXPECT_EQ(status(s.answer(*client)), 502);
@@ -443,7 +443,7 @@
 // response partly written    | Shutdown.APartlyWrittenResponseIsCompleted
 // next on a keep-alive one   | Shutdown.RequestsSentDuringTheCloseAreAnswered
 
-bool ended(Stage& s) { return s.host->drained(); }
+bool drained(Stage& s) { return s.host->drained(); }
 
 // The time from SIGTERM to SIGKILL allows for deadlines of 3 s at most: a request with a later one must get
 // its response before SIGKILL, whether it came before or after SIGTERM, even if its upstream hangs.
@@ -467,7 +467,7 @@
     s.until([&] { return before->ended && after->ended && hangs->ended; });
     before->close();
     after->close();
-    s.until([&] { return killed || ended(s); });
+    s.until([&] { return killed || drained(s); });
     EXPECT_FALSE(killed);
 }
 
@@ -497,11 +497,11 @@
         }
         answered = 0;
         for (const auto& wire : late) answered += status(wire->in) == 200 || status(wire->in) == 503;
-        return answered == late.size() || ended(s);
+        return answered == late.size() || drained(s);
     });
     EXPECT_EQ(answered, late.size());
     for (const auto& wire : late) wire->close();
-    s.until([&] { return ended(s); });
+    s.until([&] { return drained(s); });
 }
 
 // A connection is opened just before the idle ones are closed: its first request may still be in transit.
@@ -522,7 +522,7 @@
     s.request().first->say(ok());
     EXPECT_EQ(status(s.answer(*fresh)), 200);
     fresh->close();
-    s.until([&] { return ended(s); });
+    s.until([&] { return drained(s); });
 }
 
 TEST(Shutdown, ARequestThatWaitsForABackOffIsAnswered) {
@@ -539,7 +539,7 @@
     EXPECT_EQ(status(s.answer(*client)), 200);
     s.until([&] { return client->ended; });
     client->close();
-    s.until([&] { return ended(s); });
+    s.until([&] { return drained(s); });
 }
 
 // The response is larger than the socket buffers, and its client continues to read only after SIGTERM.
@@ -560,7 +560,7 @@
     EXPECT_TRUE(has(s.answer(*client), body));
     s.until([&] { return client->ended; });
     client->close();
-    s.until([&] { return ended(s); });
+    s.until([&] { return drained(s); });
 }
 
 // During the drain a client sends its next request on a keep-alive connection as soon as it has a response.
@@ -588,7 +588,7 @@
     });
     EXPECT_LE(sent, answered + 1);
     client->close();
-    s.until([&] { return ended(s); });
+    s.until([&] { return drained(s); });
 }
 
 }  // namespace
--- a/tests/discovery_peers.h
+++ b/tests/discovery_peers.h
@@ -12,9 +12,10 @@
 
 namespace flaxdoor::test {
 
-inline const char* const watch_head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+inline const char* const watch_response_head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 inline const char* const last_chunk = "0\r\n\r\n";
-inline const char* const refused = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+inline const char* const unavailable_response =
+    "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
 inline std::string chunk(const std::string& text) {
     std::ostringstream size;
@@ -23,29 +24,29 @@
 }
 
 // Records the events of a discovery client, in order.
-class Reports final : public net::DiscoveryEvents {
+class DiscoveryEventRecorder final : public net::DiscoveryEvents {
 public:
-    void on_list(net::List list) override { lists.push_back(std::move(list)); }
+    void on_list(net::UpstreamList list) override { lists.push_back(std::move(list)); }
     void on_list_failed(net::ListFailure failure) override { failures.push_back(failure); }
 
     std::vector<std::uint64_t> versions() const {
         std::vector<std::uint64_t> all;
-        for (const net::List& each : lists) all.push_back(each.version);
+        for (const net::UpstreamList& each : lists) all.push_back(each.version);
         return all;
     }
 
-    std::vector<net::List> lists;
+    std::vector<net::UpstreamList> lists;
     std::vector<net::ListFailure> failures;
 };
 
-// Returns whether discovery has received the whole request of its `n`th connection, counted from 1.
-inline bool asked(const Listener& discovery, std::size_t n) {
-    return discovery.wires.size() >= n && has(discovery.wires[n - 1]->in, "\r\n\r\n");
+// Returns whether discovery has received a complete request on connection `number`, counted from 1.
+inline bool received_request(const Listener& discovery, std::size_t number) {
+    return discovery.wires.size() >= number && has(discovery.wires[number - 1]->in, "\r\n\r\n");
 }
 
 // Returns the connections that carry a call, in the order of their accept. Leaves out those of reachability
 // checks, which carry no bytes.
-inline std::vector<std::shared_ptr<Wire>> calls_at(const Listener& discovery) {
+inline std::vector<std::shared_ptr<Wire>> received_calls(const Listener& discovery) {
     std::vector<std::shared_ptr<Wire>> calls;
     for (const auto& wire : discovery.wires) {
         if (!wire->in.empty()) calls.push_back(wire);
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -29,7 +29,7 @@
         s.until([&] { return calls.size() >= n && has(calls[n - 1]->in, "\r\n\r\n"); });
         if (n < 4) calls[n - 1]->say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     }
-    calls[3]->say(watch_head + chunk(s.list(9, false).dump() + "\n"));
+    calls[3]->say(watch_response_head + chunk(s.list(9, false).dump() + "\n"));
     calls[3]->close();
     s.until([&] { return calls.size() >= 5; });
     const std::string log = testing::internal::GetCapturedStderr();
@@ -48,17 +48,18 @@
         Stage s;
         s.start();
         auto& calls = s.discovery.wires;
-        const auto asked = [&](std::size_t n) {
+        const auto received_request = [&](std::size_t n) {
             return calls.size() >= n && has(calls[n - 1]->in, "\r\n\r\n");
         };
-        s.until([&] { return asked(1); });
-        json news = s.list(9, false);
-        calls[0]->say(watch_head + chunk(news.dump().substr(0, 20)) + chunk(news.dump().substr(20) + "\n"));
+        s.until([&] { return received_request(1); });
+        json update = s.list(9, false);
+        calls[0]->say(watch_response_head + chunk(update.dump().substr(0, 20)) +
+                      chunk(update.dump().substr(20) + "\n"));
         calls[0]->say(chunk("\n"));
         std::size_t failed = 1;
         if (end == "503" || end == "nonsense") {
             calls[0]->close();
-            s.until([&] { return asked(2); });
+            s.until([&] { return received_request(2); });
             calls[1]->say(end == "503" ? "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
                                        : "nonsense\r\n\r\n");
             failed = 2;
@@ -69,11 +70,11 @@
         } else if (end == "unfinished line") {
             calls[0]->say(chunk("{\"seq\":11,\n") + chunk("\n"));
         } else {
-            news["seq"] = 11;
-            news["hosts"][0]["health"] = "nowhere";
-            calls[0]->say(chunk(news.dump() + "\n"));
+            update["seq"] = 11;
+            update["hosts"][0]["health"] = "nowhere";
+            calls[0]->say(chunk(update.dump() + "\n"));
         }
-        s.until([&] { return asked(failed + 1); });
+        s.until([&] { return received_request(failed + 1); });
         EXPECT_TRUE(has(calls[failed]->in, "index=9 ")) << end;
     }
 }
@@ -82,22 +83,22 @@
 // balancer counts as notified of the changes that it has missed, 6 s after the last data, even if the policy
 // waits longer than that after a failed call.
 TEST(Discovery, RestartsASilentWatchBeforeMissedChangesCountAsNotified) {
-    for (const auto& [mode, spoke] :
+    for (const auto& [mode, responded] :
          {std::pair{"ask", true}, {"ask", false}, {"push", true}, {"push", false}}) {
         Stage s;
         s.config["settings"]["registry_mode"] = mode;
         s.config["settings"]["invariants"]["ask_within"] = 10000.0;
         s.start();
-        const auto calls = [&] { return calls_at(s.discovery); };
-        s.until([&] { return asked(s.discovery, 1); });
-        if (spoke) calls()[0]->say(watch_head + chunk(s.list(9, false).dump() + "\n"));
-        asio::steady_timer told(s.loop, std::chrono::seconds(6));
+        const auto calls = [&] { return received_calls(s.discovery); };
+        s.until([&] { return received_request(s.discovery, 1); });
+        if (responded) calls()[0]->say(watch_response_head + chunk(s.list(9, false).dump() + "\n"));
+        asio::steady_timer notified(s.loop, std::chrono::seconds(6));
         bool late = false;
-        told.async_wait([&](auto) { late = true; });
+        notified.async_wait([&](auto) { late = true; });
         s.until([&] { return late || (calls().size() >= 2 && has(calls()[1]->in, "\r\n\r\n")); });
-        EXPECT_FALSE(late) << mode << spoke;
-        EXPECT_TRUE(calls()[0]->ended) << mode << spoke;
-        EXPECT_TRUE(has(calls().back()->in, spoke ? "index=9 " : "index=7 ")) << mode;
+        EXPECT_FALSE(late) << mode << responded;
+        EXPECT_TRUE(calls()[0]->ended) << mode << responded;
+        EXPECT_TRUE(has(calls().back()->in, responded ? "index=9 " : "index=7 ")) << mode;
         s.host.reset();
     }
 }
@@ -110,16 +111,16 @@
     s.config["settings"]["rank"] = 1099;
     s.start();
     s.until([&] { return !s.discovery.wires.empty() && has(s.discovery.wires[0]->in, "\r\n\r\n"); });
-    json news = s.list(9, true);
-    for (auto& host : news["hosts"]) host["health"] = "leaving";
+    json update = s.list(9, true);
+    for (auto& host : update["hosts"]) host["health"] = "leaving";
     for (int i = 2; i < 1100; ++i) {
-        news["hosts"].push_back(s.upstream(1));
-        news["hosts"].back()["host"] = "a-name-as-long-as-they-get-" + std::to_string(i);
+        update["hosts"].push_back(s.upstream(1));
+        update["hosts"].back()["host"] = "a-name-as-long-as-they-get-" + std::to_string(i);
     }
-    s.discovery.wires[0]->say(watch_head + chunk(news.dump(8) + "\n"));
-    news = s.list(10, false);
-    news["hosts"] = {s.upstream(0, "left")};
-    s.discovery.wires[0]->say(chunk(news.dump() + "\n"));
+    s.discovery.wires[0]->say(watch_response_head + chunk(update.dump(8) + "\n"));
+    update = s.list(10, false);
+    update["hosts"] = {s.upstream(0, "left")};
+    s.discovery.wires[0]->say(chunk(update.dump() + "\n"));
     const auto client = s.client();
     client->say(look());
     s.request().first->say(ok());
@@ -136,7 +137,7 @@
     Stage s;
     s.config["settings"]["invariants"]["ask_within"] = 10000.0;
     s.start();
-    const auto calls = [&] { return calls_at(s.discovery); };
+    const auto calls = [&] { return received_calls(s.discovery); };
     const auto called = [&](std::size_t n) {
         return calls().size() >= n && has(calls()[n - 1]->in, "\r\n\r\n");
     };
@@ -149,9 +150,9 @@
         }
     }
     s.until([&] { return called(4); });  // gets no response
-    asio::steady_timer told(s.loop, std::chrono::seconds(6));
+    asio::steady_timer notified(s.loop, std::chrono::seconds(6));
     bool late = false;
-    told.async_wait([&](auto) { late = true; });
+    notified.async_wait([&](auto) { late = true; });
     s.until([&] { return late || called(5); });
     EXPECT_FALSE(late);
 }
@@ -163,11 +164,11 @@
         s.start();
         auto& calls = s.discovery.wires;
         s.until([&] { return !calls.empty() && has(calls[0]->in, "\r\n\r\n"); });
-        json news = s.list(9, false);
-        news["hosts"] = {s.upstream(0, "leaving")};
-        news["hosts"][0]["note"] = "}]\\\"{";
-        const std::string text = news.dump(indent) + "\r\n";
-        calls[0]->say(watch_head + chunk(text.substr(0, 30)) + chunk(text.substr(30, 60)) +
+        json update = s.list(9, false);
+        update["hosts"] = {s.upstream(0, "leaving")};
+        update["hosts"][0]["note"] = "}]\\\"{";
+        const std::string text = update.dump(indent) + "\r\n";
+        calls[0]->say(watch_response_head + chunk(text.substr(0, 30)) + chunk(text.substr(30, 60)) +
                       chunk(text.substr(90)));
         calls[0]->say(chunk("\n") + chunk("\r\n"));
         const auto client = s.client();
@@ -187,15 +188,15 @@
 // When the configured address of discovery changes, the client at once opens a watch at the new address that
 // resumes after the last version received, whether the old watch was still open or had failed.
 TEST(Discovery, FollowsAChangeOfAddress) {
-    for (const bool stood : {true, false}) {
+    for (const bool was_open : {true, false}) {
         Stage s;
         s.config["settings"]["invariants"]["ask_within"] = 100000.0;  // the policy starts no call meanwhile
         s.start();
         s.host->reconfigure(net::parse_config(s.config.dump()));  // nothing has changed
         auto& calls = s.discovery.wires;
         s.until([&] { return !calls.empty() && has(calls[0]->in, "\r\n\r\n"); });
-        calls[0]->say(watch_head + chunk(s.list(9, false).dump() + "\n"));
-        if (!stood) calls[0]->close();
+        calls[0]->say(watch_response_head + chunk(s.list(9, false).dump() + "\n"));
+        if (!was_open) calls[0]->close();
         // By the time that the request is served, the list and the end of the watch have been processed.
         const auto client = s.client();
         client->say(look());
@@ -206,8 +207,8 @@
         s.config["discovery"] = text_of(moved.address());
         s.host->reconfigure(net::parse_config(s.config.dump()));
         s.until([&] { return !moved.wires.empty() && has(moved.wires[0]->in, "\r\n\r\n"); });
-        EXPECT_TRUE(has(moved.wires[0]->in, "GET /v1/endpoints?stream=1&index=9 HTTP/1.1\r\n")) << stood;
-        if (stood) s.until([&] { return calls[0]->ended; });
+        EXPECT_TRUE(has(moved.wires[0]->in, "GET /v1/endpoints?stream=1&index=9 HTTP/1.1\r\n")) << was_open;
+        if (was_open) s.until([&] { return calls[0]->ended; });
         s.host.reset();
     }
 }
@@ -218,9 +219,9 @@
     s.start();
     auto& calls = s.discovery.wires;
     s.until([&] { return !calls.empty() && has(calls[0]->in, "\r\n\r\n"); });
-    json news = s.list(9, false);
-    news["hosts"] = {s.upstream(0, "leaving")};
-    calls[0]->say(watch_head + chunk(news.dump() + "\n") + chunk("\n"));
+    json update = s.list(9, false);
+    update["hosts"] = {s.upstream(0, "leaving")};
+    calls[0]->say(watch_response_head + chunk(update.dump() + "\n") + chunk("\n"));
     const auto client = s.client();
     client->say("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
     s.answer(*client);
@@ -234,9 +235,9 @@
 
 // All balancers must give an upstream the same id, as the policy relies on a common order of upstreams.
 TEST(Discovery, UpstreamIdsDependOnNamesAlone) {
-    EXPECT_EQ(net::id_of("s-5be2a07c"), net::id_of("s-5be2a07c"));
-    EXPECT_NE(net::id_of("s-5be2a07c"), net::id_of("s-5be2a07d"));
-    EXPECT_EQ(net::id_of("a"), 0xaf63dc4c8601ec8cULL);
+    EXPECT_EQ(net::upstream_id("s-5be2a07c"), net::upstream_id("s-5be2a07c"));
+    EXPECT_NE(net::upstream_id("s-5be2a07c"), net::upstream_id("s-5be2a07d"));
+    EXPECT_EQ(net::upstream_id("a"), 0xaf63dc4c8601ec8cULL);
 }
 
 // ------------------------------------------------------------------------------- the client without a host
@@ -249,15 +250,15 @@
         acceptor.open(tcp::v4());
         acceptor.bind(loopback());
         const auto address = acceptor.local_endpoint();
-        std::vector<tcp::socket> in_line;
+        std::vector<tcp::socket> queued;
         if (silent) {
             acceptor.listen(0);
             for (int i = 0; i < 4; ++i) {
-                in_line.emplace_back(s.loop);
-                in_line.back().async_connect(address, [](auto) {});
+                queued.emplace_back(s.loop);
+                queued.back().async_connect(address, [](auto) {});
             }
         }
-        Reports reports;
+        DiscoveryEventRecorder reports;
         net::Discovery client(s.loop, address, {}, reports);
         client.watch();
         s.until([&] { return !reports.failures.empty(); });
@@ -267,7 +268,7 @@
 
 TEST(DiscoveryClient, ReportsSilentWhenAConnectedWatchReceivesNothing) {
     Stage s;
-    Reports reports;
+    DiscoveryEventRecorder reports;
     net::Discovery client(s.loop, s.discovery.address(), {}, reports);
     client.watch();
     s.until([&] { return !reports.failures.empty(); });
@@ -275,18 +276,18 @@
 }
 
 TEST(DiscoveryClient, ReportsFailedOnOtherFailures) {
-    for (const std::string how : {"refused", "reset", "not HTTP", "not a list", "silent, not a watch"}) {
+    for (const std::string how : {"rejected", "reset", "not HTTP", "not a list", "silent, not a watch"}) {
         Stage s;
-        Reports reports;
+        DiscoveryEventRecorder reports;
         net::Discovery client(s.loop, s.discovery.address(), {}, reports);
         const bool watching = how != "silent, not a watch";
         watching ? client.watch() : client.fetch();
-        s.until([&] { return asked(s.discovery, 1); });
+        s.until([&] { return received_request(s.discovery, 1); });
         const auto wire = s.discovery.wires[0];
-        if (how == "refused") wire->say(refused);
+        if (how == "rejected") wire->say(unavailable_response);
         if (how == "reset") wire->reset();
         if (how == "not HTTP") wire->say("nonsense\r\n\r\n");
-        if (how == "not a list") wire->say(watch_head + chunk("{}\n"));
+        if (how == "not a list") wire->say(watch_response_head + chunk("{}\n"));
         s.until([&] { return !reports.failures.empty(); });
         EXPECT_EQ(reports.failures, std::vector{net::ListFailure::failed}) << how;
     }
@@ -301,16 +302,16 @@
         bool reset;
         net::ListFailure reported;
     };
-    const std::string empty_line = watch_head + chunk("\n");
+    const std::string empty_line = watch_response_head + chunk("\n");
     for (const End& each : {End{"closed", empty_line, false, net::ListFailure::closed},
                             End{"finished", empty_line + "0\r\n\r\n", false, net::ListFailure::closed},
                             End{"reset", empty_line, true, net::ListFailure::failed},
                             End{"unanswered", "", false, net::ListFailure::failed}}) {
         Stage s;
-        Reports reports;
+        DiscoveryEventRecorder reports;
         net::Discovery client(s.loop, s.discovery.address(), {}, reports);
         client.watch();
-        s.until([&] { return asked(s.discovery, 1); });
+        s.until([&] { return received_request(s.discovery, 1); });
         const auto wire = s.discovery.wires[0];
         if (!each.said.empty()) {
             wire->say(each.said);
@@ -327,12 +328,12 @@
 // protocol does not limit.
 TEST(DiscoveryClient, WaitsLongerForAFirstResponseThanForAnOpenWatch) {
     Stage s;
-    Reports reports;
+    DiscoveryEventRecorder reports;
     net::Discovery client(s.loop, s.discovery.address(), {}, reports);
     client.watch();
-    s.until([&] { return asked(s.discovery, 1); });
+    s.until([&] { return received_request(s.discovery, 1); });
     asio::steady_timer turn(s.loop, watch_idle_timeout + std::chrono::seconds(1));
-    turn.async_wait([&](auto) { s.discovery.wires[0]->say(watch_head + chunk("\n")); });
+    turn.async_wait([&](auto) { s.discovery.wires[0]->say(watch_response_head + chunk("\n")); });
     s.until([&] { return !reports.failures.empty() || !reports.lists.empty(); });
     EXPECT_TRUE(reports.failures.empty());
     EXPECT_EQ(reports.lists.size(), 1U);
@@ -341,34 +342,34 @@
 // The caller has to start new calls. A change to the same address leaves the open calls untouched.
 TEST(DiscoveryClient, AChangeOfAddressDropsOpenCalls) {
     Stage s;
-    Reports reports;
+    DiscoveryEventRecorder reports;
     net::Discovery client(s.loop, s.discovery.address(), {}, reports);
     client.watch();
     client.fetch();
-    s.until([&] { return asked(s.discovery, 1) && asked(s.discovery, 2); });
-    EXPECT_FALSE(client.move_to(s.discovery.address()));
+    s.until([&] { return received_request(s.discovery, 1) && received_request(s.discovery, 2); });
+    EXPECT_FALSE(client.change_address(s.discovery.address()));
     Listener moved(s.loop);
-    EXPECT_TRUE(client.move_to(moved.address()));
+    EXPECT_TRUE(client.change_address(moved.address()));
     s.until([&] { return s.discovery.wires[0]->ended && s.discovery.wires[1]->ended; });
     EXPECT_TRUE(moved.wires.empty());
     EXPECT_TRUE(reports.failures.empty());
     client.watch();
-    s.until([&] { return asked(moved, 1); });
+    s.until([&] { return received_request(moved, 1); });
     EXPECT_EQ(s.discovery.wires.size(), 2U);
 }
 
 // The caller of fetch() has to be notified that no list will come.
 TEST(DiscoveryClient, ReportsFailedWhenAFetchIsCutShort) {
-    for (const std::string told : {"", "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"seq\":"}) {
+    for (const std::string response : {"", "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"seq\":"}) {
         Stage s;
-        Reports reports;
+        DiscoveryEventRecorder reports;
         net::Discovery client(s.loop, s.discovery.address(), {}, reports);
         client.fetch();
-        s.until([&] { return asked(s.discovery, 1); });
-        s.discovery.wires[0]->say(told);
+        s.until([&] { return received_request(s.discovery, 1); });
+        s.discovery.wires[0]->say(response);
         s.discovery.wires[0]->close();
         s.until([&] { return !reports.failures.empty() || !reports.lists.empty(); });
-        EXPECT_EQ(reports.failures, std::vector{net::ListFailure::failed}) << told;
+        EXPECT_EQ(reports.failures, std::vector{net::ListFailure::failed}) << response;
     }
 }
 
@@ -394,8 +395,8 @@
     EXPECT_TRUE(s.upstreams[0]->wires.empty()) << what;
 }
 
-std::string list_of(Stage& s, int version, bool whole, const json& hosts) {
-    json list = s.list(version, whole);
+std::string list_line(Stage& s, int version, bool full, const json& hosts) {
+    json list = s.list(version, full);
     list["hosts"] = hosts;
     return list.dump() + "\n";
 }
@@ -412,18 +413,20 @@
         const std::string what = std::to_string(version);
         Stage s;
         s.start();
-        s.until([&] { return asked(s.discovery, 1); });
+        s.until([&] { return received_request(s.discovery, 1); });
         auto wire = s.discovery.wires[0];
-        wire->say(watch_head + chunk(list_of(s, 11, false, json::array({s.upstream(0, "leaving")}))));
+        wire->say(watch_response_head +
+                  chunk(list_line(s, 11, false, json::array({s.upstream(0, "leaving")}))));
         wire->close();
-        s.until([&] { return asked(s.discovery, 2); });
+        s.until([&] { return received_request(s.discovery, 2); });
         wire = s.discovery.wires[1];
         EXPECT_TRUE(resumes_at(*wire, 11)) << what;
-        wire->say(watch_head + chunk("\n") + chunk(list_of(s, version, true, json::array({s.upstream(1)}))));
+        wire->say(watch_response_head + chunk("\n") +
+                  chunk(list_line(s, version, true, json::array({s.upstream(1)}))));
         settle(s);
         expect_none_to_first(s, what);
         wire->close();
-        s.until([&] { return asked(s.discovery, 3); });
+        s.until([&] { return received_request(s.discovery, 3); });
         EXPECT_TRUE(resumes_at(*s.discovery.wires[2], version)) << what;
         s.host.reset();
     }
@@ -434,9 +437,9 @@
     for (const int version : {8, 7, 3}) {
         Stage s;
         s.start();
-        s.until([&] { return asked(s.discovery, 1); });
-        const auto list = list_of(s, version, true, json::array({s.upstream(1)}));
-        s.discovery.wires[0]->say(watch_head + chunk(list));
+        s.until([&] { return received_request(s.discovery, 1); });
+        const auto list = list_line(s, version, true, json::array({s.upstream(1)}));
+        s.discovery.wires[0]->say(watch_response_head + chunk(list));
         settle(s);
         expect_none_to_first(s, std::to_string(version));
         s.host.reset();
@@ -446,16 +449,16 @@
 // After a version reset the new numbering applies, and only the first object of a watch may have a lower
 // version.
 TEST(Versions, LaterObjectsWithALowerVersionAreIgnored) {
-    for (const bool whole : {false, true}) {
+    for (const bool full : {false, true}) {
         Stage s;
         s.start();
-        s.until([&] { return asked(s.discovery, 1); });
-        s.discovery.wires[0]->say(watch_head +
-                                  chunk(list_of(s, 3, true, json::array({s.upstream(0), s.upstream(1)}))) +
-                                  chunk(list_of(s, 4, false, json::array({s.upstream(0, "leaving")}))) +
-                                  chunk(list_of(s, 2, whole, json::array({s.upstream(0)}))));
+        s.until([&] { return received_request(s.discovery, 1); });
+        s.discovery.wires[0]->say(watch_response_head +
+                                  chunk(list_line(s, 3, true, json::array({s.upstream(0), s.upstream(1)}))) +
+                                  chunk(list_line(s, 4, false, json::array({s.upstream(0, "leaving")}))) +
+                                  chunk(list_line(s, 2, full, json::array({s.upstream(0)}))));
         settle(s);
-        expect_none_to_first(s, whole ? "whole" : "changes");
+        expect_none_to_first(s, full ? "snapshot" : "delta");
         EXPECT_FALSE(s.discovery.wires[0]->ended);
         s.host.reset();
     }
@@ -465,35 +468,37 @@
 TEST(Versions, ADeltaAtTheStartOfAWatchWithALowerVersionIsRejected) {
     Stage s;
     s.start();
-    s.until([&] { return asked(s.discovery, 1); });
-    s.discovery.wires[0]->say(watch_head +
-                              chunk(list_of(s, 3, false, json::array({s.upstream(1, "leaving")}))));
-    s.until([&] { return asked(s.discovery, 2); });
+    s.until([&] { return received_request(s.discovery, 1); });
+    s.discovery.wires[0]->say(watch_response_head +
+                              chunk(list_line(s, 3, false, json::array({s.upstream(1, "leaving")}))));
+    s.until([&] { return received_request(s.discovery, 2); });
     EXPECT_TRUE(s.discovery.wires[0]->ended);
     EXPECT_TRUE(resumes_at(*s.discovery.wires[1], 0));
-    s.discovery.wires[1]->say(watch_head + chunk(list_of(s, 3, true, json::array({s.upstream(1)}))));
+    s.discovery.wires[1]->say(watch_response_head +
+                              chunk(list_line(s, 3, true, json::array({s.upstream(1)}))));
     settle(s);
-    expect_none_to_first(s, "the whole list");
+    expect_none_to_first(s, "the full list");
 }
 
 // A fetch that runs beside the watch returns a list with a drain before the first object comes on the watch.
 // That object is older than the fetched list, but not older than the version that the watch resumed after.
 TEST(Versions, AFirstObjectOlderThanAFetchedListIsIgnored) {
     Stage s;
-    Reports reports;
+    DiscoveryEventRecorder reports;
     net::Discovery client(s.loop, s.discovery.address(), {}, reports);
-    client.start_from(7);
+    client.resume_from(7);
     client.watch();
-    s.until([&] { return asked(s.discovery, 1); });
+    s.until([&] { return received_request(s.discovery, 1); });
     client.fetch();
-    s.until([&] { return asked(s.discovery, 2); });
-    s.discovery.wires[1]->say(ok(list_of(s, 11, true, json::array({s.upstream(0, "leaving")}))));
+    s.until([&] { return received_request(s.discovery, 2); });
+    s.discovery.wires[1]->say(ok(list_line(s, 11, true, json::array({s.upstream(0, "leaving")}))));
     s.until([&] { return reports.lists.size() == 1; });
-    s.discovery.wires[0]->say(watch_head + chunk(list_of(s, 10, true, json::array({s.upstream(0)}))));
+    s.discovery.wires[0]->say(watch_response_head +
+                              chunk(list_line(s, 10, true, json::array({s.upstream(0)}))));
     s.until([&] { return reports.lists.size() == 2; });
     EXPECT_EQ(reports.lists[1].version, 11U);
     EXPECT_TRUE(reports.lists[1].upstreams.empty());
-    EXPECT_FALSE(reports.lists[1].whole);
+    EXPECT_FALSE(reports.lists[1].full);
 }
 
 // A drain is listed only at the new address of discovery, right after a reload of the configuration, with a
@@ -505,16 +510,17 @@
             Stage s;
             s.config["settings"]["registry_mode"] = mode;
             s.start();
-            s.until([&] { return asked(s.discovery, 1); });
-            s.discovery.wires[0]->say(watch_head + chunk(list_of(s, 8, false, json::array({s.upstream(0)}))));
+            s.until([&] { return received_request(s.discovery, 1); });
+            s.discovery.wires[0]->say(watch_response_head +
+                                      chunk(list_line(s, 8, false, json::array({s.upstream(0)}))));
             settle(s);
             Listener moved(s.loop);
             s.config["discovery"] = text_of(moved.address());
             s.host->reconfigure(net::parse_config(s.config.dump()));
-            s.until([&] { return asked(moved, 1); });
+            s.until([&] { return received_request(moved, 1); });
             EXPECT_TRUE(resumes_at(*moved.wires[0], 8)) << what;
             const json hosts = {s.upstream(0, "leaving"), s.upstream(1)};
-            moved.wires[0]->say(watch_head + chunk(list_of(s, version, true, hosts)));
+            moved.wires[0]->say(watch_response_head + chunk(list_line(s, version, true, hosts)));
             settle(s);
             expect_none_to_first(s, what);
             s.host.reset();
@@ -524,52 +530,53 @@
 
 // The watch stops sending after several objects or in the middle of one.
 TEST(Discovery, RestartsAWatchThatFallsSilentLate) {
-    for (const bool half : {false, true}) {
+    for (const bool partial : {false, true}) {
         Stage s;
         s.start();
-        s.until([&] { return asked(s.discovery, 1); });
+        s.until([&] { return received_request(s.discovery, 1); });
         const auto wire = s.discovery.wires[0];
-        wire->say(watch_head);
+        wire->say(watch_response_head);
         for (int version = 8; version < 12; ++version) {
-            wire->say(chunk(list_of(s, version, false, json::array({s.upstream(0, "leaving")}))));
+            wire->say(chunk(list_line(s, version, false, json::array({s.upstream(0, "leaving")}))));
             settle(s);
         }
-        if (half) wire->say(chunk(list_of(s, 12, false, json::array({s.upstream(0)})).substr(0, 40)));
+        if (partial) wire->say(chunk(list_line(s, 12, false, json::array({s.upstream(0)})).substr(0, 40)));
         settle(s);
         asio::steady_timer limit(s.loop, watch_idle_timeout + std::chrono::seconds(1));
         bool late = false;
         limit.async_wait([&](auto) { late = true; });
-        s.until([&] { return late || asked(s.discovery, 2); });
-        EXPECT_FALSE(late) << half;
-        EXPECT_TRUE(wire->ended) << half;
-        EXPECT_TRUE(resumes_at(*s.discovery.wires.back(), 11)) << half;
-        expect_none_to_first(s, half ? "half an object" : "silence");
+        s.until([&] { return late || received_request(s.discovery, 2); });
+        EXPECT_FALSE(late) << partial;
+        EXPECT_TRUE(wire->ended) << partial;
+        EXPECT_TRUE(resumes_at(*s.discovery.wires.back(), 11)) << partial;
+        expect_none_to_first(s, partial ? "half an object" : "silence");
         s.host.reset();
     }
 }
 
 // Whatever discovery responds, the last valid list stays in force and requests are served.
 TEST(Discovery, BadResponsesLeaveTheLastValidListInForce) {
-    for (const std::string how : {"not HTTP", "not JSON", "no fields", "cut off", "refused"}) {
+    for (const std::string how : {"not HTTP", "not JSON", "no fields", "cut off", "rejected"}) {
         Stage s;
         s.start();
-        s.until([&] { return asked(s.discovery, 1); });
-        const auto drain = list_of(s, 8, false, json::array({s.upstream(0, "leaving")}));
-        s.discovery.wires[0]->say(watch_head + chunk(drain));
+        s.until([&] { return received_request(s.discovery, 1); });
+        const auto drain = list_line(s, 8, false, json::array({s.upstream(0, "leaving")}));
+        s.discovery.wires[0]->say(watch_response_head + chunk(drain));
         s.discovery.wires[0]->close();
         for (std::size_t call = 2; call <= 4; ++call) {
-            s.until([&] { return asked(s.discovery, call); });
+            s.until([&] { return received_request(s.discovery, call); });
             const auto wire = s.discovery.wires[call - 1];
             EXPECT_TRUE(resumes_at(*wire, 8)) << how;
-            const auto back = list_of(s, 9, true, json::array({s.upstream(0), s.upstream(1)}));
+            const auto readmission = list_line(s, 9, true, json::array({s.upstream(0), s.upstream(1)}));
             if (how == "not HTTP") wire->say("nonsense\r\n\r\n");
-            if (how == "not JSON") wire->say(watch_head + chunk("{\"seq\":9,\"whole\":true,]\n"));
-            if (how == "no fields") wire->say(watch_head + chunk("{\"seq\":9}\n"));
-            if (how == "cut off") wire->say(watch_head + chunk(back.substr(0, back.size() / 2)));
-            if (how == "refused") wire->say(refused);
+            if (how == "not JSON") wire->say(watch_response_head + chunk("{\"seq\":9,\"whole\":true,]\n"));
+            if (how == "no fields") wire->say(watch_response_head + chunk("{\"seq\":9}\n"));
+            if (how == "cut off")
+                wire->say(watch_response_head + chunk(readmission.substr(0, readmission.size() / 2)));
+            if (how == "rejected") wire->say(unavailable_response);
             wire->close();
         }
-        s.until([&] { return asked(s.discovery, 5); });
+        s.until([&] { return received_request(s.discovery, 5); });
         expect_none_to_first(s, how);
         s.host.reset();
     }
@@ -579,10 +586,10 @@
     for (const std::size_t size : {1, 3, 7}) {
         Stage s;
         s.start();
-        s.until([&] { return asked(s.discovery, 1); });
-        const auto drain = list_of(s, 8, false, json::array({s.upstream(0, "leaving")}));
+        s.until([&] { return received_request(s.discovery, 1); });
+        const auto drain = list_line(s, 8, false, json::array({s.upstream(0, "leaving")}));
         const auto text =
-            watch_head + chunk(drain) + chunk("\n") + chunk(list_of(s, 9, false, json::array({})));
+            watch_response_head + chunk(drain) + chunk("\n") + chunk(list_line(s, 9, false, json::array({})));
         for (std::size_t at = 0; at < text.size(); at += size) {
             s.discovery.wires[0]->say(text.substr(at, size));
             s.loop.poll();
@@ -590,7 +597,7 @@
         settle(s);
         expect_none_to_first(s, std::to_string(size));
         s.discovery.wires[0]->close();
-        s.until([&] { return asked(s.discovery, 2); });
+        s.until([&] { return received_request(s.discovery, 2); });
         EXPECT_TRUE(resumes_at(*s.discovery.wires[1], 9)) << size;
         s.host.reset();
     }
--- a/tests/discovery_wait_test.cpp
+++ b/tests/discovery_wait_test.cpp
@@ -24,29 +24,29 @@
 using net::ListFailure;
 using std::chrono::milliseconds;
 
-const std::string empty_line = watch_head + chunk("\n");
-const char* const whole_list = R"({"seq":1,"whole":true,"hosts":[]})";
+const std::string empty_line = watch_response_head + chunk("\n");
+const char* const full_list = R"({"seq":1,"whole":true,"hosts":[]})";
 
-// A listener that accepts `takes` connections, or any number without one. After that its backlog is full, so
-// that further connections aren't established, as with an unreachable machine. Established connections stay
-// open.
-class Machine {
+// A listener that accepts `max_accepts` connections, or any number without one. After that its backlog is
+// full, so that further connections aren't established, as with an unreachable machine. Established
+// connections stay open.
+class LimitedListener {
 public:
-    Machine(asio::io_context& loop, std::optional<std::size_t> takes)
-        : acceptor_(loop), filler_(loop), takes_(takes) {
+    LimitedListener(asio::io_context& loop, std::optional<std::size_t> max_accepts)
+        : acceptor_(loop), filler_(loop), max_accepts_(max_accepts) {
         acceptor_.open(tcp::v4());
         acceptor_.bind(loopback());
-        takes ? acceptor_.listen(0) : acceptor_.listen();
+        max_accepts ? acceptor_.listen(0) : acceptor_.listen();
         accept();
     }
     tcp::endpoint address() const { return acceptor_.local_endpoint(); }
     void refuse() { acceptor_.close(); }
-    void come_back() {
-        takes_.reset();
+    void restore() {
+        max_accepts_.reset();
         accept();
     }
     // Frees one place in the backlog without a turn of the loop.
-    void take_filler() { filler_end_ = acceptor_.accept(); }
+    void free_backlog_slot() { accepted_filler_ = acceptor_.accept(); }
 
     std::size_t checks() const {
         return static_cast<std::size_t>(std::count_if(
@@ -57,7 +57,7 @@
 
 private:
     void accept() {
-        if (takes_ && wires.size() == *takes_) return fill();
+        if (max_accepts_ && wires.size() == *max_accepts_) return fill();
         acceptor_.async_accept([this](boost::system::error_code error, tcp::socket socket) {
             if (error) return;
             wires.push_back(std::make_shared<Wire>(std::move(socket)));
@@ -73,8 +73,8 @@
 
     tcp::acceptor acceptor_;
     tcp::socket filler_;
-    std::optional<tcp::socket> filler_end_;
-    std::optional<std::size_t> takes_;
+    std::optional<tcp::socket> accepted_filler_;
+    std::optional<std::size_t> max_accepts_;
 };
 
 // An event of a client: a failure, or a list if `failure` is empty.
@@ -88,37 +88,38 @@
     std::size_t checks = 0;
 };
 
-constexpr std::optional<std::size_t> always = std::nullopt;  // a machine that is always reachable
+constexpr std::optional<std::size_t> unlimited = std::nullopt;  // the machine is always reachable
 
 // One client, the discovery that it calls, the scripted steps and the expected events.
-class Scene final : private net::DiscoveryEvents {
+class Scenario final : private net::DiscoveryEvents {
 public:
-    enum class Call { watch, list };
+    enum class Call { watch, fetch };
 
-    Machine machine;
+    LimitedListener machine;
     std::unique_ptr<net::Discovery> client;
 
-    Scene(asio::io_context& loop, std::string name, std::optional<std::size_t> machine_takes,
-          int checks = net::checks_most)
-        : machine(loop, machine_takes), name_(std::move(name)), loop_(loop) {
+    Scenario(asio::io_context& loop, std::string name, std::optional<std::size_t> max_accepts,
+             int checks = net::max_reachability_checks)
+        : machine(loop, max_accepts), name_(std::move(name)), loop_(loop) {
         net::DiscoveryEvents& events = *this;
-        client = std::make_unique<net::Discovery>(loop, machine.address(), net::ListNames{}, events, checks);
+        client = std::make_unique<net::Discovery>(loop, machine.address(), net::ZoneAndKindNames{}, events,
+                                                  checks);
     }
 
-    void call(Call kind = Call::watch) {
-        called_at_ = Clock::now();
+    void start_call(Call kind = Call::watch) {
+        call_started_at_ = Clock::now();
         kind == Call::watch ? client->watch() : client->fetch();
     }
     void after(milliseconds delay, std::function<void()> step) {
-        auto timer = std::make_shared<asio::steady_timer>(loop_, called_at_ + delay);
+        auto timer = std::make_shared<asio::steady_timer>(loop_, call_started_at_ + delay);
         timer->async_wait([timer, step = std::move(step)](boost::system::error_code) { step(); });
     }
-    void say_after(milliseconds delay, std::string text) {
+    void send_after(milliseconds delay, std::string text) {
         after(delay, [this, text = std::move(text)] { machine.wires[0]->say(text); });
     }
     void expect(Expected expected) { expected_ = std::move(expected); }
 
-    void judge() const {
+    void verify() const {
         SCOPED_TRACE(name_);
         EXPECT_EQ(machine.checks(), expected_.checks);
         ASSERT_EQ(reports_.size(), expected_.reports.size());
@@ -130,171 +131,176 @@
     }
 
 private:
-    void on_list(net::List) override { note({}); }
-    void on_list_failed(ListFailure failure) override { note(failure); }
-    void note(std::optional<ListFailure> failure) {
-        reports_.push_back({std::chrono::duration_cast<milliseconds>(Clock::now() - called_at_), failure});
+    void on_list(net::UpstreamList) override { record({}); }
+    void on_list_failed(ListFailure failure) override { record(failure); }
+    void record(std::optional<ListFailure> failure) {
+        reports_.push_back(
+            {std::chrono::duration_cast<milliseconds>(Clock::now() - call_started_at_), failure});
     }
 
     const std::string name_;
     asio::io_context& loop_;
-    Clock::time_point called_at_;
+    Clock::time_point call_started_at_;
     std::vector<Report> reports_;
     Expected expected_;
 };
 
-class Scenes {
+class Scenarios {
 public:
-    explicit Scenes(asio::io_context& loop) : loop_(loop) {}
+    explicit Scenarios(asio::io_context& loop) : loop_(loop) {}
 
-    Scene& add(const std::string& name, std::optional<std::size_t> machine_takes,
-               int checks = net::checks_most) {
-        return *scenes_.emplace_back(std::make_unique<Scene>(loop_, name, machine_takes, checks));
+    Scenario& add(const std::string& name, std::optional<std::size_t> max_accepts,
+                  int checks = net::max_reachability_checks) {
+        return *scenarios_.emplace_back(std::make_unique<Scenario>(loop_, name, max_accepts, checks));
     }
-    void judge() const {
-        for (const auto& scene : scenes_) scene->judge();
+    void verify() const {
+        for (const auto& scenario : scenarios_) scenario->verify();
     }
 
 private:
     asio::io_context& loop_;
-    std::vector<std::unique_ptr<Scene>> scenes_;
+    std::vector<std::unique_ptr<Scenario>> scenarios_;
 };
 
 constexpr Report list_at(milliseconds at) { return {at, std::nullopt}; }
 constexpr Report silent_at(milliseconds at) { return {at, ListFailure::silent}; }
 constexpr Report failed_at(milliseconds at) { return {at, ListFailure::failed}; }
 
-constexpr auto silence = std::chrono::duration_cast<milliseconds>(watch_idle_timeout);
-constexpr auto gap = std::chrono::duration_cast<milliseconds>(net::check_gap);
-constexpr milliseconds in_check = gap + milliseconds(500);  // during the first check
-constexpr int checks_for_9s = 6;
+constexpr auto idle_timeout = std::chrono::duration_cast<milliseconds>(watch_idle_timeout);
+constexpr auto check_interval = std::chrono::duration_cast<milliseconds>(net::reachability_check_interval);
+constexpr milliseconds during_check = check_interval + milliseconds(500);  // during the first check
+constexpr int checks_in_9s = 6;
 
-static_assert(gap + net::check_time == silence);
-static_assert(in_check < silence);
+static_assert(check_interval + net::reachability_check_timeout == idle_timeout);
+static_assert(during_check < idle_timeout);
 
-void add_long_waits(Scenes& scenes) {
-    Scene& watch = scenes.add("watch with a response after 4 s", always);
-    watch.call();
-    watch.say_after(milliseconds(4000), empty_line);
-    watch.expect({{list_at(milliseconds(4000)), silent_at(milliseconds(4000) + silence)}, 1});
+void add_long_waits(Scenarios& scenarios) {
+    Scenario& watch = scenarios.add("watch with a response after 4 s", unlimited);
+    watch.start_call();
+    watch.send_after(milliseconds(4000), empty_line);
+    watch.expect({{list_at(milliseconds(4000)), silent_at(milliseconds(4000) + idle_timeout)}, 1});
 
-    Scene& list = scenes.add("fetch with a response after 4 s", always);
-    list.call(Scene::Call::list);
-    list.say_after(milliseconds(4000), ok(whole_list));
+    Scenario& list = scenarios.add("fetch with a response after 4 s", unlimited);
+    list.start_call(Scenario::Call::fetch);
+    list.send_after(milliseconds(4000), ok(full_list));
     list.expect({{list_at(milliseconds(4000))}, 1});
 
-    Scene& longer = scenes.add("watch with more checks and a response after 9 s", always, checks_for_9s);
-    longer.call();
-    longer.say_after(milliseconds(9000), empty_line);
-    longer.expect({{list_at(milliseconds(9000))}, checks_for_9s});
+    Scenario& longer =
+        scenarios.add("watch with more checks and a response after 9 s", unlimited, checks_in_9s);
+    longer.start_call();
+    longer.send_after(milliseconds(9000), empty_line);
+    longer.expect({{list_at(milliseconds(9000))}, checks_in_9s});
 }
 
-void add_cuts(Scenes& scenes) {
-    Scene& watch = scenes.add("watch, machine becomes unreachable", 1);
-    watch.call();
-    watch.expect({{silent_at(silence)}, 0});
-
-    Scene& list = scenes.add("fetch, machine becomes unreachable", 1);
-    list.call(Scene::Call::list);
-    list.expect({{failed_at(silence)}, 0});
-
-    Scene& later = scenes.add("machine becomes unreachable after a check", 2, checks_for_9s);
-    later.call();
-    later.expect({{silent_at(gap + silence)}, 1});
-
-    Scene& back = scenes.add("machine becomes reachable again during a check", 1);
-    back.call();
-    back.after(gap + milliseconds(500), [&back] { back.machine.come_back(); });
-    back.say_after(milliseconds(4000), empty_line);
-    back.expect({{list_at(milliseconds(4000)), silent_at(milliseconds(4000) + silence)}, 1});
-
-    Scene& refused_check = scenes.add("port is closed", always);
-    refused_check.call();
-    refused_check.after(gap / 2, [&refused_check] { refused_check.machine.refuse(); });
-    refused_check.expect({{silent_at(gap)}, 0});
+void add_unreachable_machines(Scenarios& scenarios) {
+    Scenario& watch = scenarios.add("watch, machine becomes unreachable", 1);
+    watch.start_call();
+    watch.expect({{silent_at(idle_timeout)}, 0});
+
+    Scenario& list = scenarios.add("fetch, machine becomes unreachable", 1);
+    list.start_call(Scenario::Call::fetch);
+    list.expect({{failed_at(idle_timeout)}, 0});
+
+    Scenario& later = scenarios.add("machine becomes unreachable after a check", 2, checks_in_9s);
+    later.start_call();
+    later.expect({{silent_at(check_interval + idle_timeout)}, 1});
+
+    Scenario& restored = scenarios.add("machine becomes reachable again during a check", 1);
+    restored.start_call();
+    restored.after(check_interval + milliseconds(500), [&restored] { restored.machine.restore(); });
+    restored.send_after(milliseconds(4000), empty_line);
+    restored.expect({{list_at(milliseconds(4000)), silent_at(milliseconds(4000) + idle_timeout)}, 1});
+
+    Scenario& refused_check = scenarios.add("port is closed", unlimited);
+    refused_check.start_call();
+    refused_check.after(check_interval / 2, [&refused_check] { refused_check.machine.refuse(); });
+    refused_check.expect({{silent_at(check_interval)}, 0});
 }
 
-void add_hung_processes(Scenes& scenes) {
-    Scene& watch = scenes.add("watch, process hangs", always);
-    watch.call();
-    watch.expect({{silent_at(gap * net::checks_most + silence)}, net::checks_most});
+void add_hung_processes(Scenarios& scenarios) {
+    Scenario& watch = scenarios.add("watch, process hangs", unlimited);
+    watch.start_call();
+    watch.expect({{silent_at(check_interval * net::max_reachability_checks + idle_timeout)},
+                  net::max_reachability_checks});
 
-    Scene& list = scenes.add("fetch, process hangs", always);
-    list.call(Scene::Call::list);
-    list.expect({{failed_at(gap * net::checks_most + silence)}, net::checks_most});
+    Scenario& list = scenarios.add("fetch, process hangs", unlimited);
+    list.start_call(Scenario::Call::fetch);
+    list.expect({{failed_at(check_interval * net::max_reachability_checks + idle_timeout)},
+                 net::max_reachability_checks});
 
-    Scene& three = scenes.add("three checks, process hangs", always, 3);
-    three.call();
-    three.expect({{silent_at(gap * 3 + silence)}, 3});
+    Scenario& three = scenarios.add("three checks, process hangs", unlimited, 3);
+    three.start_call();
+    three.expect({{silent_at(check_interval * 3 + idle_timeout)}, 3});
 
-    Scene& none = scenes.add("no checks, process hangs", always, 0);
-    none.call();
-    none.expect({{silent_at(silence)}, 0});
+    Scenario& none = scenarios.add("no checks, process hangs", unlimited, 0);
+    none.start_call();
+    none.expect({{silent_at(idle_timeout)}, 0});
 }
 
-void add_watches_that_have_spoken(Scenes& scenes) {
-    Scene& spoke = scenes.add("watch that has received a line", always);
-    spoke.call();
-    spoke.say_after(milliseconds(500), empty_line);
-    spoke.expect({{list_at(milliseconds(500)), silent_at(milliseconds(500) + silence)}, 0});
-
-    Scene& head = scenes.add("watch that has received only the response head", always);
-    head.call();
-    head.say_after(milliseconds(500), watch_head);
-    head.expect({{silent_at(milliseconds(500) + silence)}, 0});
-
-    Scene& answered = scenes.add("watch that receives a line during a check", 1);
-    answered.call();
-    answered.say_after(in_check, empty_line);
-    answered.expect({{list_at(in_check), silent_at(in_check + silence)}, 0});
-
-    Scene& port_closed = scenes.add("watch that receives a line during a check, which is then refused", 1);
-    port_closed.call();
-    port_closed.say_after(in_check, empty_line);
-    port_closed.after(in_check + milliseconds(100), [&port_closed] { port_closed.machine.refuse(); });
-    port_closed.expect({{list_at(in_check), silent_at(in_check + silence)}, 0});
+void add_watches_with_activity(Scenarios& scenarios) {
+    Scenario& responded = scenarios.add("watch that has received a line", unlimited);
+    responded.start_call();
+    responded.send_after(milliseconds(500), empty_line);
+    responded.expect({{list_at(milliseconds(500)), silent_at(milliseconds(500) + idle_timeout)}, 0});
+
+    Scenario& head = scenarios.add("watch that has received only the response head", unlimited);
+    head.start_call();
+    head.send_after(milliseconds(500), watch_response_head);
+    head.expect({{silent_at(milliseconds(500) + idle_timeout)}, 0});
+
+    Scenario& response_in_check = scenarios.add("watch that receives a line during a check", 1);
+    response_in_check.start_call();
+    response_in_check.send_after(during_check, empty_line);
+    response_in_check.expect({{list_at(during_check), silent_at(during_check + idle_timeout)}, 0});
+
+    Scenario& port_closed =
+        scenarios.add("watch that receives a line during a check, which is then refused", 1);
+    port_closed.start_call();
+    port_closed.send_after(during_check, empty_line);
+    port_closed.after(during_check + milliseconds(100), [&port_closed] { port_closed.machine.refuse(); });
+    port_closed.expect({{list_at(during_check), silent_at(during_check + idle_timeout)}, 0});
 }
 
-void add_ends_during_a_check(Scenes& scenes) {
-    Scene& reset = scenes.add("reset during a check", 1);
-    reset.call();
-    reset.after(in_check, [&reset] { reset.machine.wires[0]->reset(); });
-    reset.expect({{failed_at(in_check)}, 0});
+void add_ends_during_a_check(Scenarios& scenarios) {
+    Scenario& reset = scenarios.add("reset during a check", 1);
+    reset.start_call();
+    reset.after(during_check, [&reset] { reset.machine.wires[0]->reset(); });
+    reset.expect({{failed_at(during_check)}, 0});
 
-    Scene& closed = scenes.add("closed during a check", 1);
-    closed.call();
-    closed.after(in_check, [&closed] { closed.machine.wires[0]->close(); });
-    closed.expect({{failed_at(in_check)}, 0});
+    Scenario& closed = scenarios.add("closed during a check", 1);
+    closed.start_call();
+    closed.after(during_check, [&closed] { closed.machine.wires[0]->close(); });
+    closed.expect({{failed_at(during_check)}, 0});
 
-    Scene& stopped = scenes.add("stopped during a check", 1);
-    stopped.call();
-    stopped.after(in_check, [&stopped] { stopped.client->stop(); });
+    Scenario& stopped = scenarios.add("stopped during a check", 1);
+    stopped.start_call();
+    stopped.after(during_check, [&stopped] { stopped.client->stop(); });
     stopped.expect({});
 
-    Scene& destroyed = scenes.add("destroyed during a check", 1);
-    destroyed.call();
-    destroyed.after(in_check, [&destroyed] { destroyed.client.reset(); });
+    Scenario& destroyed = scenarios.add("destroyed during a check", 1);
+    destroyed.start_call();
+    destroyed.after(during_check, [&destroyed] { destroyed.client.reset(); });
     destroyed.expect({});
 
-    Scene& anew = scenes.add("restarted during a check", 1);
-    anew.call();
-    anew.after(in_check, [&anew] {
-        anew.client->unwatch();
-        anew.client->watch();
+    Scenario& restarted = scenarios.add("restarted during a check", 1);
+    restarted.start_call();
+    restarted.after(during_check, [&restarted] {
+        restarted.client->unwatch();
+        restarted.client->watch();
     });
-    anew.expect({{{in_check + silence, ListFailure::unreachable}}, 0});
+    restarted.expect({{{during_check + idle_timeout, ListFailure::unreachable}}, 0});
 }
 
-void add_move_during_a_check(Scenes& scenes, Machine& target) {
-    Scene& moved = scenes.add("address changed during a check", 1);
-    moved.call();
-    moved.after(in_check, [&moved, &target] {
-        EXPECT_TRUE(moved.client->move_to(target.address()));
+void add_address_change_during_a_check(Scenarios& scenarios, LimitedListener& target) {
+    Scenario& moved = scenarios.add("address changed during a check", 1);
+    moved.start_call();
+    moved.after(during_check, [&moved, &target] {
+        EXPECT_TRUE(moved.client->change_address(target.address()));
         moved.client->watch();
     });
-    const milliseconds answered = in_check + milliseconds(500);
-    moved.after(answered, [&target] { target.wires.at(0)->say(empty_line); });
-    moved.expect({{list_at(answered), silent_at(answered + silence)}, 0});
+    const milliseconds response_at = during_check + milliseconds(500);
+    moved.after(response_at, [&target] { target.wires.at(0)->say(empty_line); });
+    moved.expect({{list_at(response_at), silent_at(response_at + idle_timeout)}, 0});
 }
 
 void run_for(asio::io_context& loop, milliseconds span) {
@@ -308,32 +314,32 @@
 TEST(DiscoveryWait, ACallStaysOpenWhileItsMachineIsReachable) {
     asio::io_context loop{1};
     {
-        Machine target(loop, always);
-        Scenes scenes(loop);
-        add_long_waits(scenes);
-        add_cuts(scenes);
-        add_hung_processes(scenes);
-        add_watches_that_have_spoken(scenes);
-        add_ends_during_a_check(scenes);
-        add_move_during_a_check(scenes, target);
+        LimitedListener target(loop, unlimited);
+        Scenarios scenarios(loop);
+        add_long_waits(scenarios);
+        add_unreachable_machines(scenarios);
+        add_hung_processes(scenarios);
+        add_watches_with_activity(scenarios);
+        add_ends_during_a_check(scenarios);
+        add_address_change_during_a_check(scenarios, target);
         run_for(loop, milliseconds(9300));
-        scenes.judge();
+        scenarios.verify();
     }
     run_for(loop, milliseconds(1000));
     EXPECT_TRUE(loop.stopped()) << "an operation is still pending";
 }
 
 // Produces so many events that a delayed loop handles only these in its next turn, and others in a later one.
-class Crowd {
+class EventFlood {
 public:
-    explicit Crowd(asio::io_context& loop) {
+    explicit EventFlood(asio::io_context& loop) {
         for (int i = 0; i < 200; ++i) {
             auto& [here, there] = pairs_.emplace_back(loop, loop);
             asio::local::connect_pair(here, there);
             here.async_receive(asio::buffer(byte_), [](auto, auto) {});
         }
     }
-    void wake() {
+    void trigger() {
         for (auto& [here, there] : pairs_) there.send(asio::buffer("x", 1));
     }
 
@@ -343,53 +349,54 @@
     std::array<char, 1> byte_{};
 };
 
-// The loop is blocked from `in_check` on. In this time the system retransmits the lost SYN of the check,
+// The loop is blocked from `during_check` on. In this time the system retransmits the lost SYN of the check,
 // which it does a second after the first one.
-constexpr milliseconds repeated = gap + milliseconds(1000) - in_check + milliseconds(300);
-constexpr milliseconds held_up(1950);
-constexpr milliseconds answered = in_check + held_up + milliseconds(200);
+constexpr milliseconds until_syn_retransmit =
+    check_interval + milliseconds(1000) - during_check + milliseconds(300);
+constexpr milliseconds blocked_for(1950);
+constexpr milliseconds response_at = during_check + blocked_for + milliseconds(200);
 // Start of a call whose check is due just after the block begins and whose time limit expires before it ends.
-constexpr milliseconds due_called = in_check - gap + milliseconds(100);
+constexpr milliseconds due_call_start = during_check - check_interval + milliseconds(100);
 
-static_assert(due_called + silence < in_check + held_up);
+static_assert(due_call_start + idle_timeout < during_check + blocked_for);
 
 // In whatever order a delayed loop handles its events, it abandons no call that has received data in the
 // meantime, whose check has succeeded, or whose check could not yet start.
 TEST(DiscoveryWait, ADelayedLoopAbandonsNoCall) {
     asio::io_context loop{1};
-    Crowd crowd(loop);
-    Scenes scenes(loop);
-    Scene& up = scenes.add("check succeeds", 1);
-    up.call();
-    up.say_after(answered, empty_line);
-    up.expect({{list_at(answered)}, 0});
-
-    Scene& spoke = scenes.add("response comes, check does not connect", 1);
-    spoke.call();
-    spoke.expect({{list_at(in_check + held_up)}, 0});
-
-    Scene& ended = scenes.add("response comes, check is refused", 1);
-    ended.call();
-    ended.expect({{list_at(in_check + held_up)}, 0});
-
-    Scene& due = scenes.add("check is due", always);
-    up.after(due_called, [&due] {
-        due.call();
-        due.say_after(answered - due_called, empty_line);
-        due.expect({{list_at(answered - due_called)}, 1});
+    EventFlood event_flood(loop);
+    Scenarios scenarios(loop);
+    Scenario& check_succeeds = scenarios.add("check succeeds", 1);
+    check_succeeds.start_call();
+    check_succeeds.send_after(response_at, empty_line);
+    check_succeeds.expect({{list_at(response_at)}, 0});
+
+    Scenario& responded = scenarios.add("response comes, check does not connect", 1);
+    responded.start_call();
+    responded.expect({{list_at(during_check + blocked_for)}, 0});
+
+    Scenario& check_refused = scenarios.add("response comes, check is refused", 1);
+    check_refused.start_call();
+    check_refused.expect({{list_at(during_check + blocked_for)}, 0});
+
+    Scenario& due = scenarios.add("check is due", unlimited);
+    check_succeeds.after(due_call_start, [&due] {
+        due.start_call();
+        due.send_after(response_at - due_call_start, empty_line);
+        due.expect({{list_at(response_at - due_call_start)}, 1});
     });
 
-    up.after(in_check, [&] {
-        crowd.wake();
-        up.machine.take_filler();
-        ended.machine.refuse();
-        std::this_thread::sleep_for(repeated);
-        spoke.machine.wires[0]->say(empty_line);
-        ended.machine.wires[0]->say(empty_line);
-        std::this_thread::sleep_for(held_up - repeated);
+    check_succeeds.after(during_check, [&] {
+        event_flood.trigger();
+        check_succeeds.machine.free_backlog_slot();
+        check_refused.machine.refuse();
+        std::this_thread::sleep_for(until_syn_retransmit);
+        responded.machine.wires[0]->say(empty_line);
+        check_refused.machine.wires[0]->say(empty_line);
+        std::this_thread::sleep_for(blocked_for - until_syn_retransmit);
     });
-    run_for(loop, in_check + held_up + milliseconds(500));
-    scenes.judge();
+    run_for(loop, during_check + blocked_for + milliseconds(500));
+    scenarios.verify();
 }
 
 // The agent that pushes lists doesn't queue calls, and the policy uses a pushed list until it receives
@@ -398,8 +405,8 @@
     Stage s;
     s.config["settings"]["registry_mode"] = "push";
     s.start();
-    s.until([&] { return asked(s.discovery, 1); });
-    run_for(s.loop, gap + milliseconds(200));
+    s.until([&] { return received_request(s.discovery, 1); });
+    run_for(s.loop, check_interval + milliseconds(200));
     EXPECT_EQ(s.discovery.wires.size(), 1U);
 }
 
--- a/tests/standing_terms_test.cpp
+++ b/tests/standing_terms_test.cpp
@@ -23,11 +23,11 @@
 
 namespace {
 
-using Steady = std::chrono::steady_clock;
+using SteadyClock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 
 // Tolerance that the protocol adds to each time limit on sockets.
-constexpr milliseconds socket_slack(50);
+constexpr milliseconds socket_tolerance(50);
 
 void wait_for(Stage& s, milliseconds span) {
     asio::steady_timer timer(s.loop, span);
@@ -38,12 +38,12 @@
 
 // ------------------------------------------------------------- upstreams that fail around accepting
 
-// Records the outcome of one attempt and calls `as_it_comes_up` when its connection is established.
-struct OutcomeOfOne : net::UpstreamEvents {
+// Records the outcome of one attempt and calls `on_connected` when its connection is established.
+struct SingleOutcomeRecorder : net::UpstreamEvents {
     std::optional<Outcome> outcome;
-    std::function<void()> as_it_comes_up = [] {};
+    std::function<void()> on_connected = [] {};
     void on_attempt_result(net::AttemptResult result) override { outcome = result.outcome; }
-    void on_connection(net::AttemptKey) override { as_it_comes_up(); }
+    void on_connection(net::AttemptKey) override { on_connected(); }
     void on_probe_result(ProbeResult) override {}
 };
 
@@ -57,8 +57,8 @@
 TEST(UpstreamReset, BeforeTheFirstByteCountsAsAFailedConnect) {
     Stage s(0);
     tcp::acceptor acceptor(s.loop, loopback());
-    OutcomeOfOne sink;
-    sink.as_it_comes_up = [&] {
+    SingleOutcomeRecorder sink;
+    sink.on_connected = [&] {
         tcp::socket peer = acceptor.accept();
         peer.set_option(asio::socket_base::linger(true, 0));
         peer.close();
@@ -76,7 +76,7 @@
 TEST(UpstreamReset, InTheMiddleOfTheRequestCountsAsAFailedConnect) {
     constexpr std::size_t size = 64 << 20;
     Stage s(1);
-    OutcomeOfOne sink;
+    SingleOutcomeRecorder sink;
     const net::Clock clock;
     net::Upstreams upstreams(s.loop, clock, {std::chrono::seconds(5), {}, 8}, {}, sink);
     upstreams.set_address(1, s.upstreams[0]->address());
@@ -91,9 +91,9 @@
 }
 
 // An upstream that resets each connection as soon as it has accepted it.
-class Resetting {
+class ResettingUpstream {
 public:
-    explicit Resetting(Stage& s) : acceptor_(s.loop, loopback()) {
+    explicit ResettingUpstream(Stage& s) : acceptor_(s.loop, loopback()) {
         s.config["known"]["hosts"][0]["dial"] = text_of(acceptor_.local_endpoint());
         accept();
     }
@@ -117,7 +117,7 @@
 TEST(UpstreamReset, OfEachAcceptedConnection) {
     for (const bool unsafe : {true, false}) {
         Stage s;
-        Resetting resetting(s);
+        ResettingUpstream resetting(s);
         s.start();
         int served = 0, arrived = 0;
         for (int i = 0; i < 12; ++i) {
@@ -180,77 +180,77 @@
 // --------------------------------------------------------------------------------------- a running program
 
 // Runs the balancer program as a child process, which is killed when this object is destroyed.
-class Program {
+class BalancerProcess {
 public:
-    explicit Program(Stage& s) : stage_(s), errors_(s.loop) {
+    explicit BalancerProcess(Stage& s) : stage_(s), stderr_(s.loop) {
         std::string directory = testing::TempDir() + "flaxdoor-XXXXXX";
         if (!::mkdtemp(directory.data())) throw std::runtime_error("could not create a temporary directory");
         directory_ = directory;
-        configure(s.config.dump());
+        write_config(s.config.dump());
         spawn();
         read();
     }
-    ~Program() {
-        if (child_ > 0) {
-            ::kill(child_, SIGKILL);
-            ::waitpid(child_, nullptr, 0);
+    ~BalancerProcess() {
+        if (pid_ > 0) {
+            ::kill(pid_, SIGKILL);
+            ::waitpid(pid_, nullptr, 0);
         }
-        errors_.close();
+        stderr_.close();
         std::filesystem::remove_all(directory_);
     }
 
-    std::filesystem::path file() const { return directory_ / "config.json"; }
-    void configure(const std::string& text) { std::ofstream(file(), std::ios::binary) << text; }
-    void signal(int number) { ::kill(child_, number); }
-    // Waits for a line on standard error that begins with this text, after the lines found by earlier calls.
-    void expect_line(const std::string& beginning) {
+    std::filesystem::path config_path() const { return directory_ / "config.json"; }
+    void write_config(const std::string& text) { std::ofstream(config_path(), std::ios::binary) << text; }
+    void signal(int number) { ::kill(pid_, number); }
+    // Waits for a line on standard error that begins with this text, behind those found by earlier calls.
+    void expect_line(const std::string& prefix) {
         std::size_t at = std::string::npos;
         stage_.until([&] {
-            at = ("\n" + said_).find("\n" + beginning, seen_);
-            return at != std::string::npos && said_.find('\n', at) != std::string::npos;
+            at = ("\n" + stderr_text_).find("\n" + prefix, search_from_);
+            return at != std::string::npos && stderr_text_.find('\n', at) != std::string::npos;
         });
-        if (at != std::string::npos) seen_ = said_.find('\n', at);
+        if (at != std::string::npos) search_from_ = stderr_text_.find('\n', at);
     }
-    bool runs() const { return ::waitpid(child_, nullptr, WNOHANG) == 0; }
+    bool is_running() const { return ::waitpid(pid_, nullptr, WNOHANG) == 0; }
     int exit_status() {
-        int how = 0;
-        ::waitpid(child_, &how, 0);
-        child_ = 0;
-        return WIFEXITED(how) ? WEXITSTATUS(how) : -1;
+        int wait_status = 0;
+        ::waitpid(pid_, &wait_status, 0);
+        pid_ = 0;
+        return WIFEXITED(wait_status) ? WEXITSTATUS(wait_status) : -1;
     }
 
 private:
     void spawn() {
-        int ends[2];
-        if (::pipe(ends) != 0) throw std::runtime_error("could not create a pipe");
+        int pipe_ends[2];
+        if (::pipe(pipe_ends) != 0) throw std::runtime_error("could not create a pipe");
         posix_spawn_file_actions_t actions;
         posix_spawn_file_actions_init(&actions);
-        posix_spawn_file_actions_adddup2(&actions, ends[1], STDERR_FILENO);
-        posix_spawn_file_actions_addclose(&actions, ends[0]);
+        posix_spawn_file_actions_adddup2(&actions, pipe_ends[1], STDERR_FILENO);
+        posix_spawn_file_actions_addclose(&actions, pipe_ends[0]);
         std::string path = FLAXDOOR_BALANCER;
-        std::string configuration = "NODE_CONFIG=" + file().string();
+        std::string configuration = "NODE_CONFIG=" + config_path().string();
         char* const arguments[] = {path.data(), nullptr};
         char* const environment[] = {configuration.data(), nullptr};
-        const int error = ::posix_spawn(&child_, path.c_str(), &actions, nullptr, arguments, environment);
+        const int error = ::posix_spawn(&pid_, path.c_str(), &actions, nullptr, arguments, environment);
         posix_spawn_file_actions_destroy(&actions);
-        ::close(ends[1]);
-        errors_.assign(ends[0]);
+        ::close(pipe_ends[1]);
+        stderr_.assign(pipe_ends[0]);
         if (error != 0) throw std::runtime_error("could not start the program");
     }
     void read() {
-        errors_.async_read_some(asio::buffer(piece_), [this](auto error, std::size_t got) {
-            said_.append(piece_, got);
+        stderr_.async_read_some(asio::buffer(read_buffer_), [this](auto error, std::size_t got) {
+            stderr_text_.append(read_buffer_, got);
             if (!error) read();
         });
     }
 
     Stage& stage_;
-    asio::posix::stream_descriptor errors_;
+    asio::posix::stream_descriptor stderr_;
     std::filesystem::path directory_;
-    pid_t child_ = 0;
-    std::string said_;
-    std::size_t seen_ = 0;
-    char piece_[4096];
+    pid_t pid_ = 0;
+    std::string stderr_text_;
+    std::size_t search_from_ = 0;
+    char read_buffer_[4096];
 };
 
 // A configuration file that can't be read or parsed is reported. The program keeps its configuration, keeps
@@ -265,27 +265,27 @@
     no_address["discovery"] = "nowhere";
     json no_settings = next;
     no_settings.erase("settings");
-    const std::string whole = next.dump();
-    Program program(s);
+    const std::string valid = next.dump();
+    BalancerProcess program(s);
     program.expect_line("listening");
     std::size_t calls = 1;
-    s.until([&] { return asked(s.discovery, calls); });
-    for (const std::string& broken : {std::string(), whole.substr(0, whole.size() / 2), std::string("[]"),
+    s.until([&] { return received_request(s.discovery, calls); });
+    for (const std::string& broken : {std::string(), valid.substr(0, valid.size() / 2), std::string("[]"),
                                       no_address.dump(), no_settings.dump(), std::string("no file")}) {
-        program.configure(broken);
-        if (broken == "no file") std::filesystem::remove(program.file());
+        program.write_config(broken);
+        if (broken == "no file") std::filesystem::remove(program.config_path());
         program.signal(SIGHUP);
-        program.expect_line("flaxdoor: configuration " + program.file().string() + ": ");
-        ASSERT_TRUE(program.runs()) << broken;
+        program.expect_line("flaxdoor: configuration " + program.config_path().string() + ": ");
+        ASSERT_TRUE(program.is_running()) << broken;
         s.discovery.wires[calls - 1]->close();  // the next call goes to the same address
         ++calls;
-        s.until([&] { return asked(s.discovery, calls); });
+        s.until([&] { return received_request(s.discovery, calls); });
         EXPECT_TRUE(moved.wires.empty()) << broken;
     }
-    program.configure(whole);
+    program.write_config(valid);
     program.signal(SIGHUP);
     program.expect_line("configuration read anew");
-    s.until([&] { return asked(moved, 1); });
+    s.until([&] { return received_request(moved, 1); });
     program.signal(SIGTERM);
     program.expect_line("drained");
     EXPECT_EQ(program.exit_status(), 0);
@@ -293,34 +293,36 @@
 
 // ------------------------------------------------------------------------ requests that reach their deadline
 
-struct Waiting {
+struct PendingRequest {
     std::shared_ptr<Wire> client;
-    Steady::time_point sent;
+    SteadyClock::time_point sent;
     milliseconds budget;
     std::string what;
-    std::optional<Steady::time_point> answered;
+    std::optional<SteadyClock::time_point> answered;
 };
 
 // Sends requests of every class with different budgets at once, none of which can be served, and expects an
 // error response to each within its budget.
 void expect_answers_in_time(Stage& s, const std::string& why) {
-    std::vector<Waiting> all;
+    std::vector<PendingRequest> all;
     for (const int budget : {60, 150, 400, 900}) {
         for (const auto& request : {look(budget), once(budget), book(budget)}) {
-            all.push_back({s.client(), Steady::now(), milliseconds(budget), request, {}});
+            all.push_back({s.client(), SteadyClock::now(), milliseconds(budget), request, {}});
             all.back().client->say(request);
         }
     }
     s.until([&] {
         for (auto& w : all) {
-            if (!w.answered && (w.client->ended || has(w.client->in, "\r\n\r\n"))) w.answered = Steady::now();
+            if (!w.answered && (w.client->ended || has(w.client->in, "\r\n\r\n")))
+                w.answered = SteadyClock::now();
         }
-        return std::all_of(all.begin(), all.end(), [](const Waiting& w) { return w.answered.has_value(); });
+        return std::all_of(all.begin(), all.end(),
+                           [](const PendingRequest& w) { return w.answered.has_value(); });
     });
     for (const auto& w : all) {
         EXPECT_GE(status(w.client->in), 500) << why << ": " << w.what;
         ASSERT_TRUE(w.answered) << why << ": " << w.what;
-        EXPECT_LE(*w.answered - w.sent, w.budget + socket_slack) << why << ": " << w.what;
+        EXPECT_LE(*w.answered - w.sent, w.budget + socket_tolerance) << why << ": " << w.what;
     }
 }
 
@@ -356,7 +358,7 @@
 
 // ------------------------------------------------------------------- the time budget that is forwarded
 
-milliseconds told_budget(const std::string& request) {
+milliseconds forwarded_budget(const std::string& request) {
     const std::string name = "X-Budget-Ms: ";
     const auto at = request.find(name);
     return milliseconds(at == std::string::npos ? -1 : std::stol(request.substr(at + name.size())));
@@ -365,20 +367,20 @@
 // Each attempt but the last is rejected after a delay, and each retry is sent with no more than the remaining
 // time.
 TEST(ForwardedBudget, OfARetryIsAtMostTheRemainingTime) {
-    constexpr milliseconds budget(2000), held(100);
+    constexpr milliseconds budget(2000), rejection_delay(100);
     Stage s(4);
     s.start();
     const auto client = s.client();
-    const auto sent = Steady::now();
+    const auto sent = SteadyClock::now();
     client->say(look(budget.count()));
     auto wire = s.request().first;
-    for (int further = 1; further <= 3; ++further) {
-        wait_for(s, held);
-        const auto left = budget - (Steady::now() - sent);
+    for (int retry = 1; retry <= 3; ++retry) {
+        wait_for(s, rejection_delay);
+        const auto left = budget - (SteadyClock::now() - sent);
         wire->say(turned_away);
         const auto next = s.request();
-        EXPECT_GT(told_budget(next.second), milliseconds(0)) << further;
-        EXPECT_LE(told_budget(next.second), left) << further;
+        EXPECT_GT(forwarded_budget(next.second), milliseconds(0)) << retry;
+        EXPECT_LE(forwarded_budget(next.second), left) << retry;
         wire = next.first;
     }
     wire->say(ok());
@@ -387,25 +389,25 @@
 
 // The connection for the retry is established late: the request is written only then.
 TEST(ForwardedBudget, OfARetryIsTheRemainingTimeWhenItIsSent) {
-    constexpr milliseconds budget(5000), late(600), allowed(150);
+    constexpr milliseconds budget(5000), connect_delay(600), tolerance(150);
     Stage s;
     allow_slow_connections(s);
     s.config["settings"]["limits"]["max_attempts"] = 2;  // so the last may use all remaining time
     Slow slow(s);
     s.start();
     std::shared_ptr<Wire> client;
-    Steady::time_point sent;
-    for (bool further = false; !further;) {  // until a request goes to the other upstream first
+    SteadyClock::time_point sent;
+    for (bool sent_elsewhere = false; !sent_elsewhere;) {  // until a request goes to the other upstream first
         client = s.client();
-        sent = Steady::now();
+        sent = SteadyClock::now();
         client->say(look(budget.count()));
         settle(s);
-        further = !s.nothing_sent();
-        if (!further) client->close();
+        sent_elsewhere = !s.nothing_sent();
+        if (!sent_elsewhere) client->close();
     }
     s.request().first->say(turned_away);
-    wait_for(s, late);
-    const auto left = budget - (Steady::now() - sent);
+    wait_for(s, connect_delay);
+    const auto left = budget - (SteadyClock::now() - sent);
     slow.let(s);
     std::string request;
     s.until([&] {
@@ -414,8 +416,8 @@
         }
         return has(request, "\r\n\r\n");
     });
-    EXPECT_GT(told_budget(request), milliseconds(0));
-    EXPECT_LE(told_budget(request), left + allowed);
+    EXPECT_GT(forwarded_budget(request), milliseconds(0));
+    EXPECT_LE(forwarded_budget(request), left + tolerance);
 }
 
 // ------------------------------------------------------------------------------ clients that disconnect
@@ -426,7 +428,7 @@
         Stage s(2);
         s.config["known"]["hosts"] = json::array();
         s.start();
-        s.until([&] { return asked(s.discovery, 1); });
+        s.until([&] { return received_request(s.discovery, 1); });
         std::vector<std::shared_ptr<Wire>> leaving;
         for (int i = 0; i < 30; ++i) {
             leaving.push_back(s.client());
@@ -444,7 +446,7 @@
             }
         }
         settle(s);
-        s.discovery.wires[0]->say(watch_head + chunk(s.list(9, true).dump() + "\n"));
+        s.discovery.wires[0]->say(watch_response_head + chunk(s.list(9, true).dump() + "\n"));
         const auto [wire, request] = s.request();
         EXPECT_TRUE(has(request, "X-Call-Id: stays\r\n")) << how;
         wire->say(ok());
@@ -458,99 +460,103 @@
 
 // -------------------------------------------------------------------- when all upstreams keep failing
 
-struct Trouble {
+struct FailurePeriod {
     Outcome outcome = Outcome::ok;
-    Micros lasts{};
+    Micros duration{};
 };
 
 struct Load {
     int class_index = safe;
-    Micros gap{};  // interval between requests
+    Micros interval{};  // interval between requests
 };
 
 struct Pauses {
-    Micros longest{};      // longest time without an attempt
-    Micros until_again{};  // from the end of the failures to the next attempt
+    Micros longest{};             // longest time without an attempt
+    Micros until_next_attempt{};  // from the end of the failures to the next attempt
 };
 
 // Runs a policy against upstreams that first serve all attempts, then end each attempt and probe with the
-// outcome of `trouble` for its duration, then serve again. Returns the pauses between attempts.
-Pauses pauses(const Settings& settings, Load load, Trouble trouble, std::uint64_t seed = 1) {
-    struct Out {
+// outcome of `failure_period` for its duration, then serve again. Returns the pauses between
+// attempts.
+Pauses measure_pauses(const Settings& settings, Load load, FailurePeriod failure_period,
+                      std::uint64_t seed = 1) {
+    struct PendingAttempt {
         RequestId request;
         int attempt;
         Outcome outcome;
         Micros latency;
     };
-    constexpr Micros step = milliseconds(5), served_in = milliseconds(10);
+    constexpr Micros step = milliseconds(5), service_time = milliseconds(10);
     Rig rig(settings, seed);
     rig.fleet(12, 12);
-    std::multimap<Time, Out> out;
+    std::multimap<Time, PendingAttempt> pending;
     std::map<RequestId, int> attempts;
     std::size_t seen = 0, probes_seen = 0;
-    const Time begins = rig.now + std::chrono::seconds(10), over = begins + trouble.lasts;
-    const Time ends = over + std::chrono::seconds(10);
+    const Time failures_begin = rig.now + std::chrono::seconds(10),
+               failures_end = failures_begin + failure_period.duration;
+    const Time run_end = failures_end + std::chrono::seconds(10);
     Time next_request = rig.now, last_attempt = rig.now;
-    std::optional<Time> again;
+    std::optional<Time> next_attempt;
     Micros longest{};
-    while (rig.now < ends) {
+    while (rig.now < run_end) {
         rig.run(rig.now + step);
-        const bool troubled = rig.now >= begins && rig.now < over;
-        const Outcome outcome = troubled ? trouble.outcome : Outcome::ok;
+        const bool failing = rig.now >= failures_begin && rig.now < failures_end;
+        const Outcome outcome = failing ? failure_period.outcome : Outcome::ok;
         if (rig.now >= next_request) {
             rig.request(load.class_index);
-            next_request += load.gap;
+            next_request += load.interval;
         }
         for (; probes_seen < rig.sink.probed.size(); ++probes_seen) {
-            rig.policy->on_probe_result(rig.now, {rig.sink.probed[probes_seen], outcome, served_in, {}});
+            rig.policy->on_probe_result(rig.now, {rig.sink.probed[probes_seen], outcome, service_time, {}});
         }
         for (; seen < rig.sink.submits.size(); ++seen) {
             const Submit submit = rig.sink.submits[seen];
-            const Micros most = submit.timeout > Micros{0} ? submit.timeout : milliseconds(1000);
-            const Micros latency = outcome == Outcome::timeout ? most : served_in;
-            out.emplace(rig.now + latency, Out{submit.request, attempts[submit.request]++, outcome, latency});
+            const Micros timeout = submit.timeout > Micros{0} ? submit.timeout : milliseconds(1000);
+            const Micros latency = outcome == Outcome::timeout ? timeout : service_time;
+            pending.emplace(rig.now + latency,
+                            PendingAttempt{submit.request, attempts[submit.request]++, outcome, latency});
             longest = std::max(longest, rig.now - last_attempt);
             last_attempt = rig.now;
-            if (!again && rig.now >= over) again = rig.now;
+            if (!next_attempt && rig.now >= failures_end) next_attempt = rig.now;
         }
-        while (!out.empty() && out.begin()->first <= rig.now) {
-            const Out o = out.begin()->second;
-            out.erase(out.begin());
-            rig.end(o.request, o.attempt, o.outcome, o.latency);
+        while (!pending.empty() && pending.begin()->first <= rig.now) {
+            const PendingAttempt attempt_end = pending.begin()->second;
+            pending.erase(pending.begin());
+            rig.end(attempt_end.request, attempt_end.attempt, attempt_end.outcome, attempt_end.latency);
         }
     }
-    return {std::max(longest, rig.now - last_attempt), again.value_or(ends) - over};
+    return {std::max(longest, rig.now - last_attempt), next_attempt.value_or(run_end) - failures_end};
 }
 
 // Calls `check` for fleets of several sizes, with and without probes, for a safe and an unsafe class, under
 // light load (15 requests in 4 s) and heavier load.
-void for_all_balancers(const std::function<void(const Settings&, Load, const std::string&)>& check) {
+void for_all_configurations(const std::function<void(const Settings&, Load, const std::string&)>& check) {
     for (const int balancers : {1, 20, 300}) {
         for (const bool may_probe : {true, false}) {
             for (const int class_index : {safe, unsafe}) {
-                for (const Micros gap : {milliseconds(250), milliseconds(20)}) {
+                for (const Micros interval : {milliseconds(250), milliseconds(20)}) {
                     Settings settings = plain_settings();
                     settings.balancers = balancers;
                     settings.may_probe = may_probe;
-                    check(settings, {class_index, gap},
+                    check(settings, {class_index, interval},
                           std::to_string(balancers) + " balancers, probes " + std::to_string(may_probe) +
-                              ", class " + std::to_string(class_index) + ", gap " +
-                              std::to_string(gap.count()) + " us");
+                              ", class " + std::to_string(class_index) + ", interval " +
+                              std::to_string(interval.count()) + " us");
                 }
             }
         }
     }
 }
 
-constexpr Micros all_away_limit = std::chrono::seconds(4);
+constexpr Micros max_pause = std::chrono::seconds(4);
 
 // However long timeouts, rejections and errors of all upstreams last, requests are still attempted.
 TEST(AllUpstreamsFail, AttemptsContinueDuringTimeoutsAndRejections) {
-    for_all_balancers([](const Settings& settings, Load load, const std::string& what) {
+    for_all_configurations([](const Settings& settings, Load load, const std::string& what) {
         for (const Outcome outcome : {Outcome::timeout, Outcome::rejected, Outcome::error, Outcome::reset}) {
             for (const int seconds : {1, 5, 20}) {
-                const auto p = pauses(settings, load, {outcome, std::chrono::seconds(seconds)});
-                EXPECT_LT(p.longest, all_away_limit)
+                const auto p = measure_pauses(settings, load, {outcome, std::chrono::seconds(seconds)});
+                EXPECT_LT(p.longest, max_pause)
                     << what << ", outcome " << static_cast<int>(outcome) << " for " << seconds << " s";
             }
         }
@@ -561,10 +567,11 @@
 // established. That happens when all upstreams are ejected and those that may be probed get probes instead of
 // requests.
 TEST(AllUpstreamsFail, AttemptsContinueDuringConnectFailures) {
-    for_all_balancers([](const Settings& settings, Load load, const std::string& what) {
+    for_all_configurations([](const Settings& settings, Load load, const std::string& what) {
         for (const int seconds : {5, 30}) {
-            const auto p = pauses(settings, load, {Outcome::connect_failed, std::chrono::seconds(seconds)});
-            EXPECT_LT(p.longest, all_away_limit) << what << ", for " << seconds << " s";
+            const auto p =
+                measure_pauses(settings, load, {Outcome::connect_failed, std::chrono::seconds(seconds)});
+            EXPECT_LT(p.longest, max_pause) << what << ", for " << seconds << " s";
         }
     });
 }
@@ -572,10 +579,11 @@
 // While no connection to any upstream can be established, probes may be sent instead of attempts; requests
 // are attempted again soon after connections can be established again.
 TEST(AllUpstreamsFail, AttemptsResumeAfterConnectFailures) {
-    for_all_balancers([](const Settings& settings, Load load, const std::string& what) {
+    for_all_configurations([](const Settings& settings, Load load, const std::string& what) {
         for (const int seconds : {1, 5, 20}) {
-            const auto p = pauses(settings, load, {Outcome::connect_failed, std::chrono::seconds(seconds)});
-            EXPECT_LT(p.until_again, all_away_limit) << what << ", for " << seconds << " s";
+            const auto p =
+                measure_pauses(settings, load, {Outcome::connect_failed, std::chrono::seconds(seconds)});
+            EXPECT_LT(p.until_next_attempt, max_pause) << what << ", for " << seconds << " s";
         }
     });
 }
@@ -585,11 +593,11 @@
 // connections again: each of 300 balancers may then send hardly any requests to a cold upstream, and the seed
 // decides at random which budgets start with enough for a request.
 TEST(AllUpstreamsFail, AttemptsResumeWhateverTheSeed) {
-    for_all_balancers([](const Settings& settings, Load load, const std::string& what) {
+    for_all_configurations([](const Settings& settings, Load load, const std::string& what) {
         for (std::uint64_t seed = 1; seed <= 8; ++seed) {
             for (const int seconds : {5, 20}) {
-                const Trouble trouble{Outcome::connect_failed, std::chrono::seconds(seconds)};
-                EXPECT_LT(pauses(settings, load, trouble, seed).until_again, all_away_limit)
+                const FailurePeriod failure_period{Outcome::connect_failed, std::chrono::seconds(seconds)};
+                EXPECT_LT(measure_pauses(settings, load, failure_period, seed).until_next_attempt, max_pause)
                     << what << ", for " << seconds << " s, seed " << seed;
             }
         }
