--- a/src/net/connection_pool.cpp
+++ b/src/net/connection_pool.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// A second answer may come some milliseconds behind the first. Answers name no request: on a connection that
-// is used again by then it would be taken for the answer to the next request.
+// A duplicate response may arrive some milliseconds after the first one. Responses carry no request id: on a
+// connection that has been reused by then, the duplicate would be taken for the response to the next request.
 constexpr Micros rest = std::chrono::milliseconds(10);
 
 }  // namespace
@@ -37,15 +37,15 @@
     return true;
 }
 
-// Guards against a kept connection that has ended unnoticed so far: what is written to it would be a reset,
-// and may have run.
+// Guards against an idle connection whose end has not been noticed yet: a request written to it would end in
+// a reset and might have run.
 ConnectionPool::ConnectionPtr ConnectionPool::take(UpstreamId upstream, Time now) {
     UpstreamPool& pool = pools_[upstream];
     for (;;) {
         auto at = std::ranges::find_if(
             pool.kept, [&](const Kept& kept) { return reuse_of(pool, kept, now) != Reuse::ready; });
         if (at == pool.kept.begin()) break;
-        --at;  // the one used last of those that are ready
+        --at;  // the most recently used of those that are ready
         const Kept kept = std::move(*at);
         pool.kept.erase(at);
         if (kept.connection->is_quiet()) return kept.connection;
@@ -85,8 +85,8 @@
     close(taken, now);
 }
 
-// Guards against a second answer that comes after a connection has rested: one that comes sooner tells that
-// its upstream answers twice.
+// Guards against duplicate responses that arrive after the reuse delay: one that arrives earlier shows that
+// the upstream sends duplicates.
 void ConnectionPool::close(const Kept& kept, Time now) {
     const bool second_answer = kept.connection->has_second_answer();
     kept.connection->close();
@@ -104,7 +104,7 @@
     for (const auto& [upstream, pool] : pools_) close_kept(upstream);
 }
 
-// An upstream that has answered twice may do so again, and later.
+// An upstream that has sent a duplicate response may send another one, with a longer delay.
 void ConnectionPool::on_second_answer(UpstreamId upstream, Time now, Micros late_by) {
     figures_.second_answers.count(late_by);
     pools_[upstream].single_use_until = now + limits_.single_use;
--- a/src/net/connection_pool.h
+++ b/src/net/connection_pool.h
@@ -1,5 +1,5 @@
-// Connections to upstreams that are kept between two requests: which of them may carry a further request,
-// and how many connections there may be in all. It knows neither sockets nor a clock.
+// Pool of idle connections to upstreams: decides which of them may be reused and limits the number of open
+// connections. Uses neither sockets nor a clock; callers pass the current time.
 #pragma once
 
 #include <chrono>
@@ -13,63 +13,71 @@
 
 namespace flaxdoor::net {
 
-// A connection as the pool sees it: one that carries no request.
+// A connection as the pool uses it while the connection carries no request.
 class PooledConnection {
 public:
     virtual ~PooledConnection() = default;
     virtual UpstreamId upstream() const = 0;
-    // Neither bytes nor an end have come since the last answer.
+    // Neither bytes nor the end of the connection have arrived since the last response.
     virtual bool is_quiet() = 0;
-    // What has come since the last answer begins a further one.
+    // The bytes that have arrived since the last response begin another one.
     virtual bool has_second_answer() = 0;
-    // Gives its slot back to the pool; nothing the second time.
+    // Closes the connection and releases its slot in the pool; does nothing if it is closed already.
     virtual void close() = 0;
 };
 
-// Whether a connection may carry a further request.
+// Whether an idle connection may be reused.
 enum class Reuse {
-    single_use,  // never: its upstream has answered twice lately
-    resting,     // not yet: a second answer to the last request may still come
+    single_use,  // never: its upstream has recently sent a duplicate response
+    resting,     // not yet: a duplicate of the last response may still arrive
     ready,
 };
 
 struct ConnectionPoolLimits {
-    std::size_t connections = 0;  // open ones, of all upstreams
-    // For so long after an upstream has answered twice, its connections carry one request each.
+    std::size_t connections = 0;  // maximum of open ones, over all upstreams
+    // How long after a duplicate response the connections to its upstream carry one request each.
     Micros single_use = std::chrono::seconds(3);
 };
 
+// Idle connections by upstream, and the count of all open ones.
 class ConnectionPool {
 public:
     using ConnectionPtr = std::shared_ptr<PooledConnection>;
 
     explicit ConnectionPool(ConnectionPoolLimits limits) : limits_(limits) {}
 
-    // Has room for one more connection, and counts it as open. At the limit the connection that was kept
-    // longest is closed for it. False where none is kept.
+    // Reserves a slot for another open connection. At the limit, closes the connection that has been idle
+    // longest; returns false if none is idle.
     bool acquire_slot(Time now);
+    // Releases the slot of a connection that was closed.
     void release_slot() { --open_; }
 
-    // Takes out a connection to the upstream that is ready. Where there is none, another is needed, which is
-    // counted by what the kept ones lack.
+    // Removes and returns an idle connection to the upstream that is ready for reuse. Returns null if there
+    // is none, and counts the cause.
     ConnectionPtr take(UpstreamId upstream, Time now);
-    // Whether a connection to the upstream may be kept once it has been answered.
+    // Whether a connection to the upstream may be kept for reuse once its response has been read.
     bool keeps(UpstreamId upstream, Time now) const;
+    // Adds a connection that has become idle.
     void keep(ConnectionPtr connection, Time now);
-    // Something has come on a kept connection, or its time is over: closes it.
+    // Closes an idle connection that has received something or has been idle for too long.
     void discard(const ConnectionPtr& connection, Time now);
+    // Closes the idle connections to the upstream.
     void close_kept(UpstreamId upstream);
+    // Closes the idle connections to all upstreams.
     void close_all();
 
-    // The upstream has answered a request twice, `late_by` after the first answer was read.
+    // The upstream has sent a duplicate response, `late_by` after the first one was read. Closes its idle
+    // connections and, for ConnectionPoolLimits::single_use, keeps no new ones.
     void on_second_answer(UpstreamId upstream, Time now, Micros late_by);
 
+    // Number of open connections, in use or idle.
     std::size_t open() const { return open_; }
+    // Number of idle connections to the upstream.
     std::size_t kept(UpstreamId upstream) const;
 
-    // What the log says, since the last call.
+    // Counters since the last call, for the log.
     struct Figures {
-        unsigned stale = 0;  // kept connections found ended, or spoken on, as they were to be used
+        unsigned stale = 0;  // idle connections found closed or with unsolicited bytes when taken for reuse
         unsigned none_kept = 0, resting = 0, single_use = 0;  // why none was ready
         SecondAnswerTally second_answers;
     };
@@ -81,12 +89,13 @@
         Time since{};
     };
     struct UpstreamPool {
-        std::vector<Kept> kept;  // the one used last stands last
+        std::vector<Kept> kept;  // most recently used last
         Time single_use_until{};
     };
 
     bool close_oldest(Time now);
-    // With a look at what has come: a second answer there ends the upstream's other kept connections too.
+    // Checks for a duplicate response before closing; if there is one, closes the upstream's other idle
+    // connections too.
     void close(const Kept& kept, Time now);
     static Reuse reuse_of(const UpstreamPool& pool, const Kept& kept, Time now);
     void count_none_ready(const UpstreamPool& pool, Time now);
--- a/src/net/refusal_tally.cpp
+++ b/src/net/refusal_tally.cpp
@@ -18,7 +18,7 @@
     if (tally.by_upstream_.empty()) return {};
     const unsigned all = std::accumulate(tally.by_upstream_.begin(), tally.by_upstream_.end(), 0U,
                                          [](unsigned sum, const auto& each) { return sum + each.second; });
-    // By identity where two have the same, so that the line does not depend on the order of hashes.
+    // Ties go to the highest id, so that the text does not depend on the hash order.
     const auto most = std::max_element(tally.by_upstream_.begin(), tally.by_upstream_.end(),
                                        [](const auto& a, const auto& b) {
                                            return std::pair(a.second, a.first) < std::pair(b.second, b.first);
@@ -26,7 +26,7 @@
     const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(tally.least_left_);
     char text[128];
     std::snprintf(text, sizeof text,
-                  "turned away as full %u (at %zu upstreams, %u at %" PRIx64 ", least left %lld ms)", all,
+                  "rejected %u (by %zu upstreams, most %u by %" PRIx64 ", least time left %lld ms)", all,
                   tally.by_upstream_.size(), most->second, most->first, static_cast<long long>(left.count()));
     return text;
 }
--- a/src/net/refusal_tally.h
+++ b/src/net/refusal_tally.h
@@ -1,7 +1,7 @@
-// What the log says of attempts that upstreams turned away as full: how many, at how many upstreams, the one
-// with the most, and how little time the most pressed one had left. Refusals at one upstream tell of one that
-// drains or is slow, refusals at many of an overload, refusals with little time left of requests that come
-// too late.
+// Log summary of attempts that upstreams rejected as overloaded: how many, by how many upstreams, the
+// upstream with the most, and the least time that one of the requests had left. Rejections by one upstream
+// indicate that it drains or is slow, rejections by many an overload, and rejections with little time left
+// requests that arrive too late.
 #pragma once
 
 #include <chrono>
@@ -12,13 +12,14 @@
 
 namespace flaxdoor::net {
 
+// Counts rejections by upstream.
 class RefusalTally {
 public:
-    // `left`: the time that the request had left as the refusal came.
+    // `left`: time until the attempt's deadline when the rejection arrived.
     void count(UpstreamId upstream, Micros left);
 
-    // As in "turned away as full 9 (at 2 upstreams, 7 at 5be2a07c, least left 12 ms)"; empty when there were
-    // none. Begins anew.
+    // Returns a text like "rejected 9 (by 2 upstreams, most 7 by 5be2a07c, least time left 12 ms)", empty if
+    // there were no rejections, and resets the counters.
     std::string take_text();
 
 private:
--- a/src/net/second_answer_tally.cpp
+++ b/src/net/second_answer_tally.cpp
@@ -19,11 +19,12 @@
     const unsigned all = std::accumulate(counts.begin(), counts.end(), 0U);
     if (all == 0) return {};
     char text[192];
-    std::snprintf(text, sizeof text,
-                  "answered twice %u (at once %u, within 1 ms %u, 2 ms %u, 5 ms %u, 10 ms %u, 100 ms %u, "
-                  "later %u, latest %.1f ms)",
-                  all, counts[0], counts[1], counts[2], counts[3], counts[4], counts[5], counts[6],
-                  static_cast<double>(tally.latest_.count()) / 1e3);
+    std::snprintf(
+        text, sizeof text,
+        "duplicate responses %u (immediate %u, within 1 ms %u, 2 ms %u, 5 ms %u, 10 ms %u, 100 ms %u, "
+        "later %u, max %.1f ms)",
+        all, counts[0], counts[1], counts[2], counts[3], counts[4], counts[5], counts[6],
+        static_cast<double>(tally.latest_.count()) / 1e3);
     return text;
 }
 
--- a/src/net/second_answer_tally.h
+++ b/src/net/second_answer_tally.h
@@ -1,7 +1,7 @@
-// What the log says of upstreams that answered a request twice: how many such answers came, and how late
-// after the first one. Whether the rest between two requests is long enough shows in those within it. Where a
-// second answer came on a connection in use again, it was taken for the next request's, and that one's own
-// answer is counted here in its place, with the time from the wrong one to it.
+// Log summary of duplicate responses of upstreams: how many arrived, and how long after the first response.
+// Those within the reuse delay show whether it is long enough. On a connection that was reused before the
+// duplicate arrived, the duplicate was taken for the response to the next request; that request's own
+// response is then counted here in its place, with the time since the wrong one.
 #pragma once
 
 #include <array>
@@ -13,18 +13,19 @@
 
 namespace flaxdoor::net {
 
+// Counts duplicate responses by their delay.
 class SecondAnswerTally {
 public:
-    // `late_by`: time from when the first answer was read until the second one was; 0 for one behind it in
-    // the same read.
+    // `late_by`: time from reading the first response to reading the duplicate; 0 if both came in the same
+    // read.
     void count(Micros late_by);
 
-    // As in "answered twice 4 (at once 1, within 1 ms 0, 2 ms 0, 5 ms 2, 10 ms 0, 100 ms 0, later 1, latest
-    // 250.0 ms)"; empty when there were none. Begins anew.
+    // Returns a text like "duplicate responses 4 (immediate 1, within 1 ms 0, 2 ms 0, 5 ms 2, 10 ms 0, 100 ms
+    // 0, later 1, max 250.0 ms)", empty if there were none, and resets the counters.
     std::string take_text();
 
 private:
-    // Upper bounds of the classes of lateness; the last class has none.
+    // Upper bounds of the buckets; the last bucket has none.
     static constexpr std::array<Micros, 6> bounds = {
         Micros{0},
         std::chrono::milliseconds(1),
--- a/src/net/upstreams.cpp
+++ b/src/net/upstreams.cpp
@@ -11,8 +11,9 @@
 
 namespace {
 
-constexpr RequestId probe_request = 0;  // under which probes go: clients' requests count from 1
-constexpr double idle_share = 0.9;  // of the told idle limit, after which a kept connection is closed here
+constexpr RequestId probe_request = 0;  // request id of all probes; ids of client requests start at 1
+constexpr double idle_share =
+    0.9;  // of the upstreams' idle timeout, after which idle connections are closed from this side
 
 bool is_probe(AttemptKey attempt) { return attempt.request == probe_request; }
 
@@ -20,7 +21,7 @@
     if (answer.result() == http::status::ok) return Outcome::ok;
     const bool turns_away = answer.result() == http::status::service_unavailable ||
                             answer.result() == http::status::gateway_timeout;
-    // A bare 503 may come from behind a request that has run.
+    // A 503 or 504 without X-Rejected may be sent for a request that has already run.
     return turns_away && answer["X-Rejected"] == "1" ? Outcome::full : Outcome::error;
 }
 
@@ -49,11 +50,11 @@
     return found == fields.size() ? report : Report{};
 }
 
-// One connection, which carries one exchange at a time. It always waits for what comes, so that its end is
-// noticed at once, also while it is kept.
+// A connection that carries one exchange at a time. It always waits for input, also while idle, so that a
+// close by the upstream is noticed immediately.
 class Upstreams::Connection final : public PooledConnection, public std::enable_shared_from_this<Connection> {
 public:
-    // Takes over a slot of the pool.
+    // Takes ownership of a slot acquired from the pool; close() releases it.
     Connection(Upstreams& owner, UpstreamId upstream)
         : owner_(owner), upstream_(upstream), socket_(owner.loop_), timer_(owner.loop_) {}
 
@@ -102,13 +103,13 @@
         write();
     }
 
-    // The connection goes with the attempt: what may still come on it belongs to no other.
+    // Closes the connection too: a response that still arrives on it must not be taken for another request's.
     void cancel() { end(Outcome::cancelled); }
     void withdraw() {
         if (attempt_) end(Outcome::moot);
     }
 
-    // Has the last byte been handed over? Until then it has not run.
+    // Whether the whole request has been handed to the socket. Until then the upstream has not run it.
     bool whole() const { return connected_ && written_ == out_.size(); }
 
     void close() override {
@@ -121,7 +122,7 @@
     }
 
 private:
-    // The connection is kept: closes it before the upstream does.
+    // Schedules closing of this idle connection before the upstream's idle timeout.
     void arm_idle_close(Time now) {
         timer_.cancel();
         if (owner_.limits_.idle <= Micros{0}) return;
@@ -138,7 +139,7 @@
         start_answer();
     }
 
-    // Not before the connection is up: the request tells how long it will be waited for from now on.
+    // Called only once the connection is established, so that X-Budget-Ms holds the time left from then on.
     void serialize() {
         if (!is_probe(*attempt_)) {
             const auto left =
@@ -160,13 +161,13 @@
     void arm(Time at) {
         timer_.expires_at(owner_.clock_.steady(at));
         timer_.async_wait([self = shared_from_this()](error_code error) {
-            // One that was set anew may have been on its way here already.
+            // The handler of a timer that was rescheduled in the meantime may have been queued already.
             const bool due = self->timer_.expiry() <= Clock::Steady::now();
             if (!error && !self->closed_ && due) self->time_up();
         });
     }
 
-    // A request of which the last byte was never handed over has not run, whatever ended it.
+    // A request whose last byte was never written has not run, whatever ended the attempt.
     void time_up() {
         if (!attempt_) {
             owner_.pool_.discard(shared_from_this(), owner_.clock_.now());
@@ -181,7 +182,8 @@
     }
 
     void write() {
-        // The connection came up late, or the loop is late itself: from here on it could run once more.
+        // After `send_by`, because the connection came up late or the loop is delayed, the request could run
+        // a second time.
         if (owner_.clock_.now() >= send_by_) return end(Outcome::moot);
         if (!write_some(socket_, out_, written_)) return broken();
         arm(whole() ? expires_ : send_by_);
@@ -197,14 +199,14 @@
         });
     }
 
-    // What was read behind the last answer begins a further one.
+    // Whether the bytes read after the last response begin another response.
     bool read_second_answer() const {
         const auto bytes = buffer_.data();
         return begins_answer({static_cast<const char*>(bytes.data()), bytes.size()});
     }
 
     void take(error_code ended) {
-        if (!attempt_) {  // kept: whatever comes now, its end or bytes that nobody asked for, it is done
+        if (!attempt_) {  // idle: the upstream has closed the connection or sent unsolicited bytes
             owner_.pool_.discard(shared_from_this(), owner_.clock_.now());
             return;
         }
@@ -212,9 +214,9 @@
         while (buffer_.size() > 0) {
             buffer_.consume(parser_->put(buffer_.data(), error));
             if (error || !parser_->is_done() || parser_->get().result_int() >= 200) break;
-            // Nobody asked for another protocol: nothing that follows could be understood.
+            // No request asks for an upgrade: what follows could not be parsed.
             if (parser_->get().result() == http::status::switching_protocols) return unreadable();
-            start_answer();  // an interim answer: the final one follows
+            start_answer();  // interim response; the final one follows
         }
         if (error && error != http::error::need_more) return unreadable();
         if (ended == asio::error::eof && parser_->got_some() && !parser_->is_done()) {
@@ -232,8 +234,8 @@
         end(whole() ? Outcome::reset : Outcome::connect_failed);
     }
 
-    // The upstream is there and has answered, if not as it must: unlike a connection that broke, this says
-    // nothing of its death. The request may have run.
+    // Ends the attempt after invalid input. Unlike a broken connection, this is no sign that the upstream is
+    // down. The request may have run.
     void unreadable() {
         ++owner_.figures_.unreadable;
         end(whole() ? Outcome::error : Outcome::connect_failed);
@@ -245,10 +247,10 @@
         const bool refused = outcome == Outcome::full;
         const Time now = owner_.clock_.now();
         if (read_second_answer()) owner_.pool_.on_second_answer(upstream_, now, Micros{0});
-        // Before the request is whole there is nothing to answer but that it will not be taken, and behind a
-        // refusal comes nothing.
+        // The only valid response to a partially written request is a rejection, and no bytes may follow a
+        // rejection.
         if (refused ? buffer_.size() > 0 : !whole()) return unreadable();
-        // An answer to a request that is not whole yet leaves the framing in doubt.
+        // After a response to a partially written request the message framing is uncertain.
         const bool reusable = !ended && whole() && answer.keep_alive() && buffer_.size() == 0 &&
                               address_ == owner_.addresses_.at(upstream_) &&
                               owner_.pool_.keeps(upstream_, now) && !is_probe(*attempt_);
@@ -289,11 +291,11 @@
     HttpRequest request_;  // until it is serialized
     std::string out_;
     std::size_t written_ = 0;
-    Time since_{};  // when the attempt was sent
+    Time since_{};  // when the attempt was handed over
     Time expires_{};
-    Time send_by_{};  // not after `expires_`
+    Time send_by_{};  // never after `expires_`
     bool connected_ = false;
-    bool reused_ = false;  // it has carried another attempt before
+    bool reused_ = false;  // has carried another attempt before
     bool closed_ = false;
 };
 
@@ -312,7 +314,7 @@
     const auto [found, added] = addresses_.try_emplace(upstream, address);
     if (added || found->second == address) return;
     found->second = address;
-    close_idle(upstream);  // they lead to where it was
+    close_idle(upstream);  // they lead to the former address
 }
 
 void Upstreams::close_idle(UpstreamId upstream) { pool_.close_kept(upstream); }
@@ -327,7 +329,8 @@
         report(attempt, upstream, Outcome::moot, now);
         return;
     }
-    // A probe has a connection of its own: no late answer to it may reach a client, nor the other way round.
+    // Probes use connections of their own: a late response to a probe must not reach a client, nor a late
+    // response to a client's request count as a probe's.
     const auto kept = is_probe(attempt) ? nullptr : pool_.take(upstream, now);
     if (const auto connection = std::static_pointer_cast<Connection>(kept)) {
         attempts_.emplace(attempt, connection);
@@ -370,7 +373,7 @@
                        HttpResponse answer, bool doubtful) {
     const Micros latency = clock_.now() - sent_at;
     if (is_probe(attempt)) {
-        // The body of a probe's answer is the load report, where there is one.
+        // The body of the response to a probe is the load report, if there is one.
         events_.on_probe_result({upstream, outcome, latency, parse_report(answer.body(), report_fields_)});
         return;
     }
@@ -392,15 +395,14 @@
     const std::string second_answers = pool.second_answers.take_text();
     if (f.sent == 0 && second_answers.empty()) return {};
     char line[400];
-    std::snprintf(line, sizeof line,
-                  "attempts %u: unreadable %u, reset %u, timeout %u, moot %u, withdrawn %u; connections %zu "
-                  "open, %u made "
-                  "(slowest %.1f ms), "
-                  "%u refused, %u too slow, %u broke unwritten, %u found ended; needed as none was kept %u, "
-                  "all rested %u, single use %u",
-                  f.sent, f.unreadable, f.reset, f.timeout, f.moot, f.withdrawn, pool_.open(), f.made,
-                  static_cast<double>(f.slowest.count()) / 1e3, f.refused, f.slow, f.unwritten, pool.stale,
-                  pool.none_kept, pool.resting, pool.single_use);
+    std::snprintf(
+        line, sizeof line,
+        "attempts %u: malformed response %u, reset %u, timeout %u, moot %u, withdrawn %u; connections "
+        "%zu open, %u established (slowest %.1f ms), %u connect errors, %u connect timeouts, %u broken "
+        "before send, %u stale; none reusable: no idle %u, reuse delay %u, single use %u",
+        f.sent, f.unreadable, f.reset, f.timeout, f.moot, f.withdrawn, pool_.open(), f.made,
+        static_cast<double>(f.slowest.count()) / 1e3, f.refused, f.slow, f.unwritten, pool.stale,
+        pool.none_kept, pool.resting, pool.single_use);
     std::string text = line;
     for (const std::string& tally : {second_answers, refusals_.take_text()}) {
         if (!tally.empty()) text.append("; ").append(tally);
--- a/src/net/upstreams.h
+++ b/src/net/upstreams.h
@@ -1,4 +1,5 @@
-// Attempts at upstreams: the connections that carry them, what came of each, and load reports.
+// Attempts and probes at upstreams: sends them over pooled connections, reports their results and parses load
+// reports.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,72 +22,87 @@
 
 namespace flaxdoor::net {
 
+// Identifies an attempt: the request's id, and the attempt's number among those of the request, from 0.
 struct AttemptKey {
     RequestId request = 0;
     int number = 0;
     auto operator<=>(const AttemptKey&) const = default;
 };
 
+// How an attempt ended.
 struct AttemptResult {
     AttemptKey attempt;
     UpstreamId upstream = 0;
     Outcome outcome = Outcome::ok;
     Micros latency{};
     Report report;
-    HttpResponse answer;    // of an outcome ok
-    bool doubtful = false;  // as in AttemptEnd
+    HttpResponse answer;    // as received; empty if there was none
+    bool doubtful = false;  // see AttemptEnd
 };
 
+// Receives the results of Upstreams.
 class UpstreamEvents {
 public:
     virtual ~UpstreamEvents() = default;
-    // Exactly once for every attempt; may come while send() or cancel() is still on the stack.
+    // Called exactly once per attempt, possibly while send() or cancel() is still on the stack.
     virtual void on_attempt_result(AttemptResult result) = 0;
-    // A connection has come up for an attempt, which may be withdrawn now, before its first byte.
+    // A connection has been established for the attempt. The attempt may be withdrawn during this call,
+    // before its first byte is written.
     virtual void on_connection(AttemptKey attempt) = 0;
-    // Exactly once for every probe; may come while probe() is still on the stack.
+    // Called exactly once per probe, possibly while probe() is still on the stack.
     virtual void on_probe_result(ProbeResult result) = 0;
 };
 
 struct UpstreamLimits {
-    Micros connect{};  // a connection that is not made after this has failed; 0: no limit of its own
-    Micros idle{};     // kept connections are closed after this by the other side; 0: not told
-    std::size_t connections = 0;                            // in all
-    Micros single_use = ConnectionPoolLimits{}.single_use;  // as the pool's
+    Micros connect{};             // limit for establishing a connection; 0: no separate limit
+    Micros idle{};                // upstreams close idle connections after this; 0: unknown
+    std::size_t connections = 0;  // maximum over all upstreams
+    Micros single_use = ConnectionPoolLimits{}.single_use;  // see ConnectionPoolLimits
 };
 
+// Sends attempts and probes to upstreams. A connection carries one exchange at a time, without pipelining.
+// The event loop, the clock and the receiver of events are borrowed and must outlive this object.
 class Upstreams {
 public:
     Upstreams(boost::asio::io_context& loop, const Clock& clock, UpstreamLimits limits,
               std::vector<std::string> report_fields, UpstreamEvents& events);
     ~Upstreams();
 
+    // Sets the upstream's address. A changed address closes the idle connections to the former one.
     void set_address(UpstreamId upstream, const boost::asio::ip::tcp::endpoint& address);
+    // Closes the idle connections to the upstream.
     void close_idle(UpstreamId upstream);
-    // Sends the request once, with the time up to `expires` in X-Budget-Ms; what has not come by then is
-    // given up. What has not gone out whole by `send_by` ends as moot.
+    // Sends the request once, with the time left until `expires` in X-Budget-Ms; without a response by then,
+    // the attempt times out. An attempt whose request has not been written completely by `send_by` ends as
+    // moot, as does one to an upstream without a known address or beyond the limit of connections.
     void send(AttemptKey attempt, UpstreamId upstream, HttpRequest request, Time expires, Time send_by);
+    // Ends the attempt as cancelled and closes its connection; does nothing if the attempt has ended.
     void cancel(AttemptKey attempt);
-    // Takes back those of which the last byte has not been handed over: they end as moot.
+    // Ends as moot those of the attempts selected by the predicate whose request has not been written
+    // completely.
     void withdraw(const std::function<bool(AttemptKey, UpstreamId)>& concerned);
-    // Asks the upstream how it is, at the given path: a request like any other but for its kind of result.
+    // Sends a GET request for `path` to the upstream on a connection of its own. The result goes to
+    // on_probe_result().
     void probe(UpstreamId upstream, std::string_view path, Time expires);
+    // Closes all connections; attempts in flight get no result.
     void stop();
 
+    // Number of idle connections to the upstream.
     std::size_t idle(UpstreamId upstream) const;
 
-    // One line on what has become of connections and attempts since the last call; empty when nothing has.
+    // Returns a log line on connections and attempts since the last call and resets the counters. The line is
+    // empty if no attempt has ended and no duplicate response has arrived.
     std::string figures();
 
 private:
     class Connection;
     using ConnectionPtr = std::shared_ptr<Connection>;
 
-    // Tells apart what the policy hears of as one outcome.
+    // Counters by cause, also for causes that the policy sees as the same outcome.
     struct Figures {
         unsigned sent = 0, made = 0, refused = 0, slow = 0, unwritten = 0, unreadable = 0, reset = 0,
                  timeout = 0, moot = 0, withdrawn = 0;
-        Micros slowest{};  // of the connections made
+        Micros slowest{};  // longest time that establishing a connection took
     };
 
     void report(AttemptKey attempt, UpstreamId upstream, Outcome outcome, Time sent_at,
@@ -105,7 +121,8 @@
     RefusalTally refusals_;
 };
 
-// Values in the order of `fields`; empty when the text doesn't hold them all as numbers.
+// Returns the values in the order of `fields`; empty if the text lacks one of them or holds a value that is
+// not a finite number.
 Report parse_report(std::string_view text, const std::vector<std::string>& fields);
 
 }  // namespace flaxdoor::net
--- a/tests/connection_pool_test.cpp
+++ b/tests/connection_pool_test.cpp
@@ -1,4 +1,4 @@
-// Which kept connection may carry a further request, at exact times, and how many connections there may be.
+// Which idle connection may be reused, at exact times, and the limit on open connections.
 #include "net/connection_pool.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 constexpr Micros rest = milliseconds(10);
 constexpr Time start = std::chrono::hours(1);
 
-// A connection without a socket, which gives back its slot as it is closed.
+// A connection without a socket; releases its slot when it is closed.
 class FakeConnection final : public PooledConnection {
 public:
     FakeConnection(ConnectionPool& pool, UpstreamId upstream) : pool_(pool), upstream_(upstream) {}
@@ -99,9 +99,10 @@
     EXPECT_FALSE(pool.keeps(1, seen + limits.single_use - Micros{1}));
     EXPECT_TRUE(pool.keeps(1, seen + limits.single_use));
     EXPECT_TRUE(pool.keeps(2, seen));
-    EXPECT_EQ(pool.take_figures().second_answers.take_text(),
-              "answered twice 1 (at once 0, within 1 ms 0, 2 ms 0, 5 ms 0, 10 ms 1, 100 ms 0, later 0, "
-              "latest 10.0 ms)");
+    EXPECT_EQ(
+        pool.take_figures().second_answers.take_text(),
+        "duplicate responses 1 (immediate 0, within 1 ms 0, 2 ms 0, 5 ms 0, 10 ms 1, 100 ms 0, later 0, "
+        "max 10.0 ms)");
 }
 
 TEST(ConnectionPool, ClosesTheOneKeptLongestAtTheLimitAndNoneThatIsInUse) {
@@ -116,7 +117,7 @@
     EXPECT_EQ(pool.open(), 2U);
 }
 
-// Guards against a second answer that is overlooked where its connection has to make room.
+// Guards against a duplicate response that goes unnoticed on a connection closed to free its slot.
 TEST(ConnectionPool, NoticesASecondAnswerOnTheOneThatMakesRoom) {
     ConnectionPool pool({1});
     keep_one(pool, 1, start)->second_answer = true;
--- a/tests/connection_rest_test.cpp
+++ b/tests/connection_rest_test.cpp
@@ -1,10 +1,13 @@
-// How long a connection to an upstream rests after an answer, over loopback sockets. Answers name no request:
-// a second answer to the request before would be taken for the answer to the next one on its connection.
+// The reuse delay of connections to upstreams, over loopback sockets. Responses carry no request id: a
+// duplicate response to the previous request would be taken for the response to the next one on its
+// connection.
 //
-// No connection carries a further request before its rest (10 ms) is over, however many rest, however busy.
+// No connection carries another request before its reuse delay (10 ms) is over, however many connections are
+// in their delay and however busy the loop is.
 //
-// The order of events is forced by what was seen. Where a verdict depends on times, then on two between which
-// a right program's whole rest lies, however slow the machine is.
+// The order of events is enforced by waiting for what was observed. Where a verdict depends on time, it
+// compares two times between which the whole reuse delay of a correct program lies, however slow the machine
+// is.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -24,10 +27,10 @@
 constexpr Micros hold_up = std::chrono::milliseconds(20);
 constexpr UpstreamId upstream = 1;
 constexpr RequestId first_request = 1;
-constexpr RequestId next_request = 1000;  // the first of those that come while connections rest
-const std::string path = "/api/";         // behind which a request's number stands
+constexpr RequestId next_request = 1000;  // the first of those sent during the reuse delay
+const std::string path = "/api/";         // followed by a request's number
 constexpr std::size_t ample_connections = 64;
-constexpr int most_rounds = 200;  // until one is quick enough to meet connections that rest
+constexpr int most_rounds = 200;  // until one is fast enough to send within the reuse delay
 
 const std::string first_body = "to the first";
 const std::string second_body = "to the first, again";
@@ -38,16 +41,16 @@
 
 struct Exchange {
     std::size_t resting = 1;
-    Micros second_after = std::chrono::milliseconds(2);  // behind the first answer, or later
-    std::string ahead;  // what comes of the first answer a whole rest before its end
+    Micros second_after = std::chrono::milliseconds(2);  // after the first response, or later
+    std::string ahead;  // part of the first response sent a whole reuse delay before its end
     std::string first = ok(first_body);
     std::string second = ok(second_body);
-    std::size_t next = 1;  // requests that come while connections rest
-    Micros next_after{};   // behind the first answer, or as soon as all were taken
-    Micros held_up{};      // for so long the loop makes no turn once the first answers were written
+    std::size_t next = 1;  // requests sent during the reuse delay
+    Micros next_after{};   // after the first response; 0: as soon as all have been read
+    Micros held_up{};      // how long the loop is blocked after the first responses were written
 };
 
-// Keeps what became of attempts and probes.
+// Collects the results of attempts and probes.
 struct Results : net::UpstreamEvents {
     std::vector<net::AttemptResult> attempts;
     std::vector<ProbeResult> probes;
@@ -69,25 +72,26 @@
     }
 };
 
-// Where a request that came while connections rested was seen.
+// Where and when a request sent during the reuse delay arrived.
 struct Next {
     RequestId request = 0;
     Time handed_at{};  // just after it was handed over
     Time seen_at{};
-    std::optional<std::size_t> used;  // the place of its connection among those that had carried a request
+    std::optional<std::size_t> used;  // index of its connection among those used before; none: a new one
     Outcome outcome = Outcome::ok;
     std::string body;
 };
 
-// What happened, without the sockets that it happened on: it outlives them.
+// What was observed in a round. Outlives the sockets.
 struct Round {
-    std::vector<Time> answered_at;  // on each used connection: when it was too early to have read the answer
+    std::vector<Time> answered_at;  // per used connection: a time before its response can have been read
     std::vector<Next> next;
     std::optional<Time> second_written_at;
     std::string figures;
 
     Time begin() const { return answered_at.front(); }
-    // Was all handed over while every connection rested? None rests for less than from the answer's writing.
+    // Whether all requests were handed over during the reuse delay of every connection, which ends no sooner
+    // than its length after the response was written.
     bool met_all_resting() const {
         return std::all_of(next.begin(), next.end(),
                            [&](const Next& one) { return one.handed_at - begin() < rest; });
@@ -102,18 +106,18 @@
 
 std::ostream& operator<<(std::ostream& out, const Round& round) {
     const auto since = [&](Time at) { return (at - round.begin()).count(); };
-    out << "times in us from the first answer";
+    out << "times in us from the first response";
     for (std::size_t i = 0; i < round.answered_at.size(); ++i)
-        out << "\n  " << since(round.answered_at[i]) << " connection " << i << ": first answer";
+        out << "\n  " << since(round.answered_at[i]) << " connection " << i << ": first response";
     for (const Next& one : round.next) {
         out << "\n  " << since(one.handed_at) << " request " << one.request << " handed over";
         out << "\n  " << since(one.seen_at) << " request " << one.request << " seen on ";
         if (one.used) out << "connection " << *one.used;
         if (!one.used) out << "a new connection";
-        out << ", at last \"" << one.body << "\", outcome " << static_cast<int>(one.outcome);
+        out << "; response \"" << one.body << "\", outcome " << static_cast<int>(one.outcome);
     }
     if (round.second_written_at)
-        out << "\n  " << since(*round.second_written_at) << " second answers written";
+        out << "\n  " << since(*round.second_written_at) << " duplicate responses written";
     if (!round.figures.empty()) out << "\n  " << round.figures;
     return out;
 }
@@ -126,7 +130,7 @@
     return static_cast<std::size_t>(found - wires.begin());
 }
 
-// Connections to one upstream without a host.
+// Sends requests to one upstream through net::Upstreams, without a host.
 class DirectUpstreams {
 public:
     explicit DirectUpstreams(std::size_t most_connections = ample_connections)
@@ -134,7 +138,7 @@
         upstreams.set_address(upstream, stage.upstreams[0]->address());
     }
 
-    // Sends so many at once, each of which gets a connection of its own.
+    // Sends that many requests or probes at once, each on a connection of its own.
     void open(std::size_t count, Carried carried = Carried::requests) {
         for (std::size_t i = 0; i < count; ++i) {
             if (carried == Carried::probes) upstreams.probe(upstream, "/status/load", expires());
@@ -147,7 +151,7 @@
         ASSERT_EQ(stage.connections(), count);
     }
 
-    // Answers on every connection, and returns once all answers were taken and all connections rest.
+    // Responds on every connection; returns once all responses were read and all connections are idle.
     void answer_all(const std::string& answer, Micros held_up = {}) {
         say_first(answer);
         if (held_up > Micros{0}) hold_up_loop(held_up);
@@ -155,7 +159,7 @@
         ASSERT_EQ(upstreams.idle(upstream), used.size());
     }
 
-    // The same, each connection after the one before has come to rest.
+    // Like answer_all(), but each connection only after the previous one has become idle.
     void answer_in_turn(const std::string& answer) {
         for (const auto& wire : used) {
             say_first_on(*wire, answer);
@@ -173,8 +177,7 @@
         wire.say(answer);
     }
 
-    // The test's own sleep between two turns stands for a loop that is held up. No answer is read until it is
-    // over.
+    // Blocks the loop: no response is read until the sleep is over.
     void hold_up_loop(Micros length) {
         std::this_thread::sleep_for(length);
         for (Time& at : round.answered_at) at = clock.now();
@@ -197,7 +200,7 @@
         round.next.push_back(one);
     }
 
-    // Finds where a request that was handed over came out.
+    // Records where and when a request that was handed over arrived.
     void see_next() {
         const auto [wire, message] = stage.request();
         ASSERT_TRUE(wire);
@@ -210,7 +213,7 @@
         carriers.push_back(wire);
     }
 
-    // Answers what came while connections rested. Whatever was written before is read before this.
+    // Responds to the requests sent during the reuse delay. Whatever was written before is read first.
     void answer_next() {
         for (const auto& wire : carriers) wire->say(ok(next_body));
         stage.until([&] { return results.count() == used.size() + round.next.size(); });
@@ -250,7 +253,8 @@
     Time expires() const { return clock.now() + std::chrono::seconds(15); }
 };
 
-// The first answers, the next requests once they were taken, and the second answers once those are there.
+// Sends the first responses, the next requests once those were read, and the duplicate responses once the
+// next requests have arrived.
 void play(const Exchange& exchange, Round& round) {
     DirectUpstreams direct;
     ASSERT_NO_FATAL_FAILURE(direct.open(exchange.resting));
@@ -271,17 +275,18 @@
     round = direct.round;
 }
 
-// On a connection whose rest was really over nothing can tell the second answer from the next one's.
+// After its reuse delay, nothing on a connection tells a duplicate from the response to the next request.
 void expect_rest_kept(const Round& round) {
     for (const Next& one : round.next) {
-        EXPECT_FALSE(round.breaks_rest(one)) << "request " << one.request << " came before a rest was over";
+        EXPECT_FALSE(round.breaks_rest(one)) << "request " << one.request << " was sent during a reuse delay";
         if (one.used && !round.breaks_rest(one)) continue;
         EXPECT_EQ(one.outcome, Outcome::ok) << "request " << one.request;
         EXPECT_EQ(one.body, next_body) << "request " << one.request;
     }
 }
 
-// Plays rounds until one has met connections all of which rested, and judges each. A machine may be too slow.
+// Plays rounds until one has sent all requests during the reuse delay, and checks each. A slow machine may
+// need several.
 void expect_rest_kept_by(const std::function<void(Round&)>& play) {
     for (int i = 0; i < most_rounds; ++i) {
         Round round;
@@ -290,10 +295,10 @@
         expect_rest_kept(round);
         if (round.met_all_resting() || testing::Test::HasFailure()) return;
     }
-    FAIL() << "no round was quick enough to meet connections that rest";
+    FAIL() << "no round was fast enough to send during the reuse delay";
 }
 
-bool answered_twice(const std::string& figures) { return has(figures, "; answered twice "); }
+bool answered_twice(const std::string& figures) { return has(figures, "; duplicate responses "); }
 
 void expect_rest_kept_in(const Exchange& exchange) {
     expect_rest_kept_by([&](Round& round) {
@@ -304,7 +309,7 @@
     });
 }
 
-// ---------------------------------------------------------------------------- a second answer within a rest
+// --------------------------------------------------------------- duplicate responses during the reuse delay
 
 struct Case {
     std::size_t resting;
@@ -340,7 +345,7 @@
 INSTANTIATE_TEST_SUITE_P(FiveRest, SecondAnswer, testing::ValuesIn(cases(5)), name_of_case);
 INSTANTIATE_TEST_SUITE_P(EightRest, SecondAnswer, testing::ValuesIn(cases(8)), name_of_case);
 
-// ---------------------------------------------------------------------------------- what a rest counts from
+// ---------------------------------------------------------------------- start and length of the reuse delay
 
 class Rest : public testing::TestWithParam<std::size_t> {
 protected:
@@ -351,7 +356,7 @@
     }
 };
 
-// The rest counts from the last byte.
+// The reuse delay counts from the last byte.
 TEST_P(Rest, BeginsAtTheEndOfAnAnswerInTwoPieces) {
     Exchange two_pieces = exchange();
     const std::string answer = ok(first_body);
@@ -366,7 +371,7 @@
     expect_rest_kept_in(behind_interim);
 }
 
-// A probe's connection carries nothing else, however long it might rest.
+// The connection of a probe carries no other request, not even after the reuse delay.
 TEST_P(Rest, NoConnectionOfAProbeCarriesAnotherRequest) {
     DirectUpstreams direct;
     ASSERT_NO_FATAL_FAILURE(direct.open(GetParam(), Carried::probes));
@@ -381,28 +386,29 @@
     for (const auto& wire : direct.used) direct.stage.until([&] { return wire->ended; });
 }
 
-// An answer that lay in the socket for longer than a rest while the loop was held up has been read just now.
+// A response that lay in the socket for longer than the reuse delay while the loop was blocked counts as just
+// read.
 TEST_P(Rest, BeginsWhenTheAnswerIsRead) {
     Exchange held_up = exchange();
     held_up.held_up = hold_up;
     expect_rest_kept_in(held_up);
 }
 
-// The next request comes when a rest is nearly over.
+// The next request comes shortly before the reuse delay ends.
 TEST_P(Rest, LastsForItsWholeLength) {
     Exchange late = exchange();
     late.next_after = std::chrono::milliseconds(9);
     expect_rest_kept_in(late);
 }
 
-// A refusal as the second answer would turn the next request away.
+// A duplicate response that is a rejection would reject the next request.
 TEST_P(Rest, KeepsARefusalThatComesSecondFromTheNextRequest) {
     Exchange refused = exchange();
     refused.second = turned_away;
     expect_rest_kept_in(refused);
 }
 
-// As many requests come at once as connections rest.
+// As many requests come at once as there are connections in their reuse delay.
 TEST_P(Rest, IsKeptWhenManyRequestsCome) {
     Exchange busy = exchange();
     busy.next = busy.resting;
@@ -413,8 +419,8 @@
 INSTANTIATE_TEST_SUITE_P(ThreeRest, Rest, testing::Values(3));
 INSTANTIATE_TEST_SUITE_P(FourRest, Rest, testing::Values(4));
 
-// At the cap of connections the one that was kept longest is closed for a new one: the request is neither
-// sent on a connection that rests nor given up.
+// At the connection limit, the connection that has been idle longest is closed for a new one: the request is
+// neither sent on a connection in its reuse delay nor given up.
 TEST(RestAtTheCap, TheConnectionKeptLongestMakesRoom) {
     constexpr std::size_t cap = 4;
     expect_rest_kept_by([&](Round& round) {
@@ -433,9 +439,9 @@
     });
 }
 
-// ---------------------------------------------------------------------------------- a second answer, unread
+// ------------------------------------------------------------------------------- unread duplicate responses
 
-// Waits, without a turn of the loop, until what was said has reached the other side's socket.
+// Waits, without running the loop, until everything written has reached the other side's socket.
 void wait_until_delivered(const Wire& wire) {
     const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(5);
     while (wire.undelivered() > 0) {
@@ -444,13 +450,14 @@
     }
 }
 
-// A second answer that had come before the next request was handed over: that is sent on no used connection.
+// Expects that a duplicate response that arrived before the next request keeps that request off the used
+// connections.
 void expect_noticed(DirectUpstreams& direct) {
     ASSERT_NO_FATAL_FAILURE(direct.see_next());
     ASSERT_NO_FATAL_FAILURE(direct.answer_next());
     const Round& round = direct.round;
     SCOPED_TRACE(testing::PrintToString(round));
-    EXPECT_FALSE(round.next.front().used) << "sent on a connection with an answer that nobody asked for";
+    EXPECT_FALSE(round.next.front().used) << "sent on a connection with an unsolicited response";
     EXPECT_EQ(round.next.front().outcome, Outcome::ok);
     EXPECT_EQ(round.next.front().body, next_body);
     EXPECT_TRUE(answered_twice(round.figures));
@@ -458,7 +465,8 @@
 
 class UnreadAnswer : public testing::TestWithParam<std::size_t> {};
 
-// It comes to connections that have rested, and the next request is there before the loop turns.
+// The duplicate arrives on connections whose reuse delay is over, and the next request comes before the loop
+// runs.
 TEST_P(UnreadAnswer, IsNoticedOnAConnectionThatHasRested) {
     DirectUpstreams direct;
     ASSERT_NO_FATAL_FAILURE(direct.open(GetParam()));
@@ -471,9 +479,9 @@
     expect_noticed(direct);
 }
 
-// The loop is held up between the first answer's arrival and its being read; the test's own handler, which
-// sleeps, stands for that. When it is read, the second answer comes and the next request is there, all in the
-// same turn.
+// The loop is blocked between the arrival and the reading of the first response, by a handler that sleeps.
+// When the response is read, the duplicate arrives and the next request comes, all in the same turn of the
+// loop.
 TEST_P(UnreadAnswer, IsNoticedAfterALoopWasHeldUpBeforeTheFirstWasRead) {
     DirectUpstreams direct;
     ASSERT_NO_FATAL_FAILURE(direct.open(GetParam()));
@@ -494,7 +502,7 @@
 INSTANTIATE_TEST_SUITE_P(OneRests, UnreadAnswer, testing::Values(1));
 INSTANTIATE_TEST_SUITE_P(FourRest, UnreadAnswer, testing::Values(4));
 
-// An answer of so many bytes in all.
+// A response of that many bytes in total.
 std::string answer_of(std::size_t size) {
     const std::size_t head = ok(std::string(size, 'x')).size() - size;
     return ok(std::string(size - head, 'x'));
@@ -502,9 +510,9 @@
 
 class SecondAnswerBehindTheFirst : public testing::TestWithParam<std::size_t> {};
 
-// The second answer comes right behind a first one of a size at which one read may end, and the loop is held
-// up as that was taken: the second may have been read by the socket's service and not been handled yet. A
-// callback that sleeps stands for a loop with other work, or for a machine that is busy.
+// The duplicate directly follows a first response of a size at which a read may end, and the loop is blocked
+// once that response was read: the socket's service may have read the duplicate without having called the
+// handler. A callback that sleeps stands for a loop with other work or a busy machine.
 TEST_P(SecondAnswerBehindTheFirst, IsNoticedWhenTheLoopIsHeldUpAfterTheFirst) {
     DirectUpstreams direct;
     ASSERT_NO_FATAL_FAILURE(direct.open(1));
@@ -526,9 +534,9 @@
 INSTANTIATE_TEST_SUITE_P(Of8KiB, SecondAnswerBehindTheFirst, testing::Values(8 * 1024));
 INSTANTIATE_TEST_SUITE_P(Of16KiB, SecondAnswerBehindTheFirst, testing::Values(16 * 1024));
 
-// --------------------------------------------------------------------------------------------- a whole host
+// ---------------------------------------------------------------------------------------------- with a host
 
-// Requests that are out at an upstream, and the clients that sent them.
+// Requests in flight at an upstream, and the clients that sent them.
 struct Out {
     Wires clients;
     Wires upstream;
@@ -542,9 +550,9 @@
     }
 }
 
-// So many requests out at once, each on a connection of its own. A host lets two out to an upstream that it
-// knows nothing of, and one more with each answer to the last that it let out; those connections are not
-// kept.
+// Puts that many requests in flight, each on a connection of its own. To an upstream that it has no responses
+// from, a host sends two requests at once, and one more with each response to the last one sent; the
+// connections of these responses are not kept.
 Out send_at_once(Stage& s, std::size_t count) {
     constexpr std::size_t at_first = 2;
     Out out;
@@ -559,11 +567,12 @@
     return out;
 }
 
-// So many clients of a host are answered, a further one comes at once, and then the first are answered again.
+// A host's clients get their responses, another client sends a request at once, and then the first requests
+// get duplicate responses.
 void play_with_clients(std::size_t resting, Round& round) {
     const net::Clock clock;
     Stage s(1);
-    s.config["settings"]["services"][0]["aim"] = 4000.0;  // nothing is sent again while a machine is slow
+    s.config["settings"]["services"][0]["aim"] = 4000.0;  // prevents retries while the machine is slow
     s.start();
     const auto last = s.client();
     const Out out = send_at_once(s, resting);
@@ -579,7 +588,7 @@
     ASSERT_TRUE(carrier);
     Next next;
     next.request = next_request;
-    next.handed_at = next.seen_at = clock.now();  // the host handed it over sooner
+    next.handed_at = next.seen_at = clock.now();  // an upper bound: the host sent the request earlier
     next.used = place_in(used, carrier);
     round.second_written_at = clock.now();
     for (const auto& wire : used) wire->say(ok(second_body));
--- a/tests/crossed_answers_test.cpp
+++ b/tests/crossed_answers_test.cpp
@@ -1,5 +1,5 @@
-// Answers that could reach another than the one they are meant for: on connections to upstreams, of probes
-// and of clients, on those to discovery, and on those of clients.
+// Responses that could reach a request other than their own: on connections to upstreams, of probes and of
+// client requests, on connections to discovery, and on connections of clients.
 #include <gtest/gtest.h>
 
 #include <thread>
@@ -13,9 +13,9 @@
 
 namespace {
 
-// ------------------------------------------------------------------------- connections to upstreams, by hand
+// ------------------------------------------------------------------ connections to upstreams, without a host
 
-// Far longer than a connection rests after an answer.
+// Far longer than the reuse delay.
 constexpr auto longer_than_rest = std::chrono::milliseconds(200);
 
 enum class Asker { client, probe };
@@ -24,7 +24,7 @@
 const std::string report_body = "active=1,avg_ms=2";
 const std::string other_report_body = "active=8,avg_ms=9";
 
-// What came of clients' attempts and of probes, in order.
+// Collects the results of attempts and probes, in order.
 struct Results : net::UpstreamEvents {
     std::vector<net::AttemptResult> attempts;
     std::vector<ProbeResult> probes;
@@ -35,7 +35,7 @@
     std::size_t count() const { return attempts.size() + probes.size(); }
 };
 
-// Connections to upstreams without a host round them.
+// Sends requests to upstreams through net::Upstreams, without a host.
 struct Connections {
     static constexpr UpstreamId id = 1;
 
@@ -50,13 +50,13 @@
             upstreams.send({++requests, 0}, id, std::move(request), expires, expires);
         }
     }
-    // The answer to the request that is out.
+    // Responds to the request in flight and waits for its result.
     void answer(Wire& wire, const std::string& bytes) {
         const std::size_t known = results.count();
         wire.say(bytes);
         stage.until([&] { return results.count() > known; });
     }
-    // One whole exchange, and the connection that it went over.
+    // Runs one whole exchange and returns its connection.
     std::shared_ptr<Wire> exchange(Asker asker) {
         send(asker);
         const auto wire = stage.request().first;
@@ -67,7 +67,7 @@
         const auto over = std::chrono::steady_clock::now() + span;
         stage.until([&] { return std::chrono::steady_clock::now() >= over; });
     }
-    // The last result of this kind is that of an answer with this body.
+    // Expects that the last result of this kind is that of a response with this body.
     void expect_answered(Asker asker, const std::string& body) const {
         if (asker == Asker::probe) {
             EXPECT_EQ(results.probes.back().outcome, Outcome::ok);
@@ -91,7 +91,8 @@
 
 constexpr Pair mixed_pairs[] = {{Asker::probe, Asker::client}, {Asker::client, Asker::probe}};
 
-// A second answer, be it a refusal, that has come before the next request goes out, read or unread.
+// A duplicate response, possibly a rejection, has arrived before the next request is sent, and may have been
+// read.
 TEST(CrossedProbes, ASecondAnswerThatHasComeReachesNeitherAClientNorAProbe) {
     for (const auto& [first, next] : mixed_pairs) {
         for (const std::string& second_answer : {ok(other_report_body), turned_away}) {
@@ -110,7 +111,7 @@
     }
 }
 
-// A second answer to the first one's request comes when the next one's is out, and before its own answer.
+// A duplicate response to the first request arrives while the next one is in flight, before its own response.
 void expect_not_crossed_by_a_late_second_answer(Pair askers) {
     Connections c;
     const auto wire = c.exchange(askers.first);
@@ -122,19 +123,19 @@
     c.expect_answered(askers.next, report_body);
 }
 
-// Guards against a client that gets the second answer to a probe as its own: where probes go over the
-// connections of clients' requests, one that comes later than the rest can't be told from the one waited for.
+// Guards against a client that gets a duplicate response to a probe: if probes shared the connections of
+// client requests, a duplicate later than the reuse delay could not be told from the awaited response.
 TEST(CrossedProbes, AProbesLateSecondAnswerIsNeverGivenToAClient) {
     expect_not_crossed_by_a_late_second_answer({Asker::probe, Asker::client});
 }
 
-// Guards against a client's second answer that counts as the upstream's load report.
+// Guards against a duplicate response to a client request that counts as the upstream's load report.
 TEST(CrossedProbes, AClientsLateSecondAnswerIsNeverTakenForALoadReport) {
     expect_not_crossed_by_a_late_second_answer({Asker::client, Asker::probe});
 }
 
-// Guards against a request that goes to the address its upstream has left: what is out while the address
-// changes must not bring its connection back into the pool.
+// Guards against a request sent to the former address of its upstream: a connection in use while the address
+// changes must not return to the pool.
 TEST(CrossedConnections, OneToAFormerAddressCarriesNoFurtherRequest) {
     Connections c;
     c.send(Asker::client);
@@ -149,10 +150,10 @@
     EXPECT_EQ(c.stage.upstreams[1]->wires.size(), 1U);
 }
 
-// --------------------------------------------------------------------------------- refusals, before a host
+// --------------------------------------------------------------------------------- rejections, with a host
 
-// A refusal on a connection that has carried another request may be a second answer to that one: a keyed
-// request that it meets may run, so that its client is not told that nothing has happened.
+// A rejection on a connection that has carried another request may be a duplicate response to that one. A
+// keyed request in flight may still run, so its client must not be told that nothing has happened.
 TEST(CrossedRefusals, AKeyedRequestThatMayRunIsNotAnsweredAsRefused) {
     Stage s(1);
     s.config["settings"]["limits"]["max_attempts"] = 1;
@@ -166,15 +167,15 @@
     s.until([&] { return std::chrono::steady_clock::now() >= rested; });
     client->say(book());
     const auto next = s.request().first;
-    ASSERT_TRUE(next == wire) << "the connection was not kept";
+    ASSERT_TRUE(next == wire) << "the connection was not reused";
     next->say(turned_away);
     EXPECT_EQ(status(s.answer(*client)), 502);
 }
 
 // ----------------------------------------------------------------------------------------------- discovery
 
-// Behind the answer to a call stands a second one, in the same piece or in one that comes later: the next
-// call gets its own answer.
+// A duplicate response to a discovery call follows the first one, in the same segment or in a later one: the
+// next call gets its own response.
 TEST(CrossedDiscovery, ASecondAnswerToACallIsNeverTaken) {
     const net::ListNames names{{"here", "there"}, {"full node"}};
     for (const bool in_one_piece : {true, false}) {
@@ -197,7 +198,7 @@
     }
 }
 
-// Behind the last chunk of a watch stands another answer: neither it nor what comes later on that connection
+// Another response follows the last chunk of a watch: neither it nor what arrives later on that connection
 // reaches the next watch.
 TEST(CrossedDiscovery, AnAnswerBehindTheEndOfAWatchIsNeverTaken) {
     const net::ListNames names{{"here", "there"}, {"full node"}};
@@ -222,7 +223,7 @@
 
 // ------------------------------------------------------------------------------------------------- clients
 
-// What is answered here, without an upstream, stands behind a request that waits for one: the answers go out
+// Requests that the balancer responds to itself follow one that waits for an upstream: the responses go out
 // in the order of the requests.
 TEST(CrossedClients, WhatIsAnsweredHereDoesNotOvertakeAnAnswer) {
     Stage s;
@@ -244,7 +245,7 @@
     EXPECT_TRUE(has(s.answer(*client), "to the second"));
 }
 
-// Two clients name their requests alike, and are answered in the other order.
+// Two clients use the same call id, and the responses arrive in reverse order.
 TEST(CrossedClients, RequestsOfOneNameGetTheirOwnAnswers) {
     Stage s;
     s.start();
@@ -259,7 +260,8 @@
     EXPECT_TRUE(has(s.answer(*first), "to the first"));
 }
 
-// The first `length` bytes of a request stand behind another one that waits; the rest comes after its answer.
+// The first `length` bytes of a request follow another one that is in flight; the remainder comes after its
+// response.
 void expect_taken_whole(const std::string& request, std::size_t length, const std::string& end) {
     Stage s;
     s.start();
@@ -283,16 +285,16 @@
     expect_taken_whole(request, request.find("X-Call-Class"), "\r\n\r\nfor the second");
 }
 
-// Guards against the rest of a body, begun behind a request that waits, that is replaced by older bytes of
-// the same connection: a read under way while the bytes that have come are consumed writes beside their
-// place.
+// Guards against a body whose first part follows a request in flight and whose remainder is replaced by older
+// bytes of the same connection: a read that is in progress while received bytes are consumed writes to the
+// wrong place.
 TEST(CrossedClients, ARequestCutInItsBodyBehindAnotherIsTakenWhole) {
     const std::string request = once(5000, "for the second");
     expect_taken_whole(request, request.size() - 4, "\r\n\r\nfor the second");
 }
 
-// Guards, for the same reason, against the second of two requests sent at once that runs twice, and a third
-// that never does.
+// Guards, for the same reason, against running the second of two requests sent at once twice, and a third one
+// never.
 TEST(CrossedClients, ARequestAfterTwoThatCameTogetherIsTakenForNoOther) {
     Stage s;
     s.start();
@@ -310,15 +312,15 @@
     expect_served("new");
 }
 
-// A request for this host itself, of so many bytes.
+// A request to the balancer itself, of that many bytes in total.
 std::string ready_of_size(std::size_t bytes) {
     const std::string head = "GET /ready HTTP/1.1\r\nHost: x\r\nX-Filler: ", end = "\r\n\r\n";
     return head + std::string(bytes - head.size() - end.size(), 'x') + end;
 }
 
-// Guards against a connection that is taken for idle, and closed in a shutdown, while a request on it has
-// been read and not been handled. The loop is held up, so that the shutdown's look and the client's bytes
-// come in one turn; the first request ends with what is read at once.
+// Guards against a connection that is considered idle and closed during shutdown while a request on it has
+// been read but not handled. The loop is blocked, so that the shutdown's check and the client's bytes come in
+// one turn; the first request ends exactly at the end of a read.
 TEST(CrossedClients, ARequestBehindOneThatFillsAReadIsAnsweredInAShutdown) {
     constexpr auto past_first_look = std::chrono::milliseconds(600);
     Stage s(1);
@@ -336,18 +338,18 @@
     EXPECT_TRUE(has(s.answer(*client), "to the request behind"));
 }
 
-// Long after SIGTERM: the host winds down.
+// Long enough after SIGTERM for the host to have begun closing its connections.
 constexpr auto past_still_coming = std::chrono::milliseconds(600);
 
-// Runs the loop until the shutdown that begins now winds down.
+// Begins the shutdown and runs the loop until the host closes its connections.
 void drain_until_it_winds_down(Stage& s) {
     s.host->drain();
     const auto winds_down = std::chrono::steady_clock::now() + past_still_coming;
     s.until([&] { return std::chrono::steady_clock::now() >= winds_down; });
 }
 
-// Guards against a request dropped in a shutdown that comes in the very moment of the answer before it: it
-// stands unread in its socket then. The answer and the request are both there before the host looks at
+// Guards against a request dropped during shutdown because it arrives at the moment of the response before it
+// and is still unread in its socket. The response and the request are both there before the host looks at
 // either.
 TEST(CrossedClients, ARequestThatComesWithTheAnswerBeforeItIsAnsweredInAShutdown) {
     Stage s(1);
@@ -365,13 +367,13 @@
     next->say(ok("to two"));
     const std::string answer = s.answer(*client);
     EXPECT_TRUE(has(answer, "to two"));
-    EXPECT_TRUE(has(answer, "Connection: close")) << "nothing more has come";
+    EXPECT_TRUE(has(answer, "Connection: close")) << "no further request has arrived";
     s.until([&] { return client->ended; });
     client->close();
     s.until([&] { return s.host->drained(); });
 }
 
-// Guards against a request that a shutdown cuts off in the middle: its first half stands behind another.
+// Guards against a request that a shutdown cuts in half: its first half follows another request.
 TEST(CrossedClients, ARequestCutBehindAnotherIsTakenWholeInAShutdown) {
     const std::string request = look(5000, "second");
     Stage s(1);
@@ -393,8 +395,8 @@
     EXPECT_TRUE(has(s.answer(*client), "to the second"));
 }
 
-// Guards against requests that have been read and get no answer before SIGKILL: several came at once, and the
-// upstream of the first one hangs through the whole shutdown.
+// Guards against requests that have been read but get no response before SIGKILL: several came at once, and
+// the upstream of the first one hangs throughout the shutdown.
 TEST(CrossedClients, AllThatCameTogetherAreAnsweredBeforeTheKill) {
     constexpr auto earliest_kill = std::chrono::milliseconds(3700);
     constexpr int requests = 8;
@@ -418,7 +420,7 @@
     EXPECT_FALSE(killed);
 }
 
-// Guards against a request that is read and dropped in a shutdown: it came whole with the one before it.
+// Guards against a request that is read and dropped during shutdown: it arrived whole with the one before it.
 TEST(CrossedClients, TheSecondOfTwoThatCameTogetherIsAnsweredInAShutdown) {
     constexpr auto until_it_winds_down = std::chrono::milliseconds(600);
     Stage s(1);
@@ -440,8 +442,8 @@
     EXPECT_TRUE(has(s.answer(*client), "to two"));
 }
 
-// A client sends a request, and half of a further one or all of it, and goes, before the answer to the first
-// or behind it: nothing of the further one reaches an upstream.
+// A client sends a request and half or all of another one, and disconnects before or after the response to
+// the first: nothing of the other one reaches an upstream.
 TEST(CrossedClients, NothingIsSentOfWhatStandsBehindAClientThatGoes) {
     struct Case {
         bool whole, answered;
--- a/tests/refusal_tally_test.cpp
+++ b/tests/refusal_tally_test.cpp
@@ -1,4 +1,4 @@
-// What the log says of attempts that were turned away as full.
+// The log summary of attempts rejected by upstreams.
 #include "net/refusal_tally.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
     RefusalTally tally;
     for (int i = 0; i < 3; ++i) tally.count(0xab, milliseconds(400));
     tally.count(0xcd, milliseconds(12));
-    EXPECT_EQ(tally.take_text(), "turned away as full 4 (at 2 upstreams, 3 at ab, least left 12 ms)");
+    EXPECT_EQ(tally.take_text(), "rejected 4 (by 2 upstreams, most 3 by ab, least time left 12 ms)");
 }
 
 TEST(RefusalTally, BeginsAnewOnceItWasTaken) {
@@ -25,13 +25,13 @@
     tally.take_text();
     EXPECT_EQ(tally.take_text(), "");
     tally.count(2, milliseconds(9));
-    EXPECT_EQ(tally.take_text(), "turned away as full 1 (at 1 upstreams, 1 at 2, least left 9 ms)");
+    EXPECT_EQ(tally.take_text(), "rejected 1 (by 1 upstreams, most 1 by 2, least time left 9 ms)");
 }
 
 TEST(RefusalTally, NamesTheSameUpstreamWhereSeveralHaveTheMost) {
     RefusalTally tally;
     for (const UpstreamId upstream : {7, 9, 8}) tally.count(upstream, milliseconds(1));
-    EXPECT_EQ(tally.take_text(), "turned away as full 3 (at 3 upstreams, 1 at 9, least left 1 ms)");
+    EXPECT_EQ(tally.take_text(), "rejected 3 (by 3 upstreams, most 1 by 9, least time left 1 ms)");
 }
 
 }  // namespace
--- a/tests/second_answer_load_test.cpp
+++ b/tests/second_answer_load_test.cpp
@@ -1,7 +1,6 @@
-// Many clients at once before upstreams that answer some requests a second time, some milliseconds late, over
-// loopback sockets. Which requests, and how late, is drawn from a seed; what is judged is what really
-// happened, by the times measured at the upstreams, so that a timer that fires late on a busy machine changes
-// no verdict.
+// Many concurrent clients, and upstreams that send duplicate responses to some requests some milliseconds
+// late, over loopback sockets. A seed determines which requests and how late. The checks use the times
+// measured at the upstreams, so that a timer that fires late on a busy machine changes no verdict.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -26,26 +25,26 @@
 using Steady = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 
-// A connection carries no further request sooner than this after its last answer, and an answer that is
-// written sooner than this after the one before it reaches no other request. Both hold at the upstream, as
-// the balancer counts from when it has read an answer, which is later than when it was written.
+// A connection carries no further request within this time after its last response, and a response written
+// within this time after the previous one reaches no other request. Both hold at the upstream, because the
+// balancer counts from when it has read a response, which is later than when it was written.
 constexpr Micros rest_least = milliseconds(10);
-constexpr Micros clock_step{1};  // the balancer counts in whole microseconds
+constexpr Micros clock_step{1};  // the balancer's clock has microsecond resolution
 
-// What is drawn for a request.
-constexpr Micros pause_most = milliseconds(3);  // of its client, before it
+// Bounds of what is drawn for a request.
+constexpr Micros pause_most = milliseconds(3);  // of its client, before the request
 constexpr Micros service_most = milliseconds(3);
 constexpr Micros second_delay_most = milliseconds(8);
 constexpr double second_answer_chance = 0.1;
 
-// An upstream answers once until so many requests have come to it on used connections: from its first second
-// answer on, the balancer may use each of its connections once only.
+// An upstream sends no duplicates until this many requests have arrived on used connections: after its first
+// duplicate, the balancer may use each of its connections only once.
 constexpr std::size_t warm_up_requests = 5;
 
-// A run is repeated with new draws until it has shown enough to be judged.
+// A run is repeated with new draws until its counts suffice for a verdict.
 constexpr std::size_t least_episodes = 6;
 constexpr std::size_t most_episodes = 60;
-constexpr std::size_t least_second_answers = 10;  // within the rest
+constexpr std::size_t least_second_answers = 10;  // within the reuse delay
 constexpr std::size_t least_used_requests = 100;
 constexpr std::size_t most_upstreams = 3;
 
@@ -66,7 +65,7 @@
     std::optional<Micros> second_after;
 };
 
-// Half of the times that are drawn are none at all.
+// Half of the drawn times are zero.
 Micros draw_up_to(Micros most, std::mt19937_64& random) {
     if (std::bernoulli_distribution(0.5)(random)) return {};
     return Micros(std::uniform_int_distribution<Micros::rep>(0, most.count())(random));
@@ -95,7 +94,7 @@
     std::size_t call = 0;
     std::size_t connection = 0;
     Steady::time_point at;
-    std::optional<Micros> rested;  // since the last answer on its connection
+    std::optional<Micros> rested;  // since the last response on its connection
 };
 
 struct WrittenAnswer {
@@ -103,12 +102,12 @@
     Turn turn = Turn::first;
     std::size_t connection = 0;
     Steady::time_point at;
-    std::optional<Micros> behind;  // the answer before it on its connection
+    std::optional<Micros> behind;  // since the previous response on its connection
 };
 
 bool within_rest(const std::optional<Micros>& time) { return time && *time < rest_least - clock_step; }
 
-// What the upstreams of an episode have seen and written, in order of time.
+// What the upstreams of an episode received and wrote, in order of time.
 struct Record {
     std::vector<SeenRequest> requests;
     std::vector<WrittenAnswer> answers;
@@ -118,13 +117,13 @@
 struct Tally {
     std::size_t requests = 0;
     std::size_t used_requests = 0;   // on used connections
-    std::size_t early_requests = 0;  // of these: sooner than the rest
+    std::size_t early_requests = 0;  // of these, within the reuse delay
     std::size_t second_answers = 0;
     std::size_t second_answers_in_rest = 0;
-    std::size_t wrong_answers = 0;       // in the rest, to another request
-    std::size_t late_wrong_answers = 0;  // later than the rest, to another request
+    std::size_t wrong_answers = 0;       // within the reuse delay, delivered to another request
+    std::size_t late_wrong_answers = 0;  // after the reuse delay, delivered to another request
     std::size_t unserved = 0;
-    std::string trace;  // of the first wrong answer
+    std::string trace;  // of the first wrong response
 
     bool tells() const {
         return second_answers_in_rest >= least_second_answers && used_requests >= least_used_requests;
@@ -133,10 +132,10 @@
 
 std::ostream& operator<<(std::ostream& out, const Tally& tally) {
     out << tally.requests << " requests, " << tally.used_requests << " on used connections, "
-        << tally.early_requests << " of them before the rest; " << tally.second_answers << " second answers, "
-        << tally.second_answers_in_rest << " within the rest; " << tally.wrong_answers
-        << " answers within the rest to another request, " << tally.late_wrong_answers << " later; "
-        << tally.unserved << " not served";
+        << tally.early_requests << " of them within the reuse delay; " << tally.second_answers
+        << " duplicate responses, " << tally.second_answers_in_rest << " within the reuse delay; "
+        << tally.wrong_answers << " responses within the reuse delay delivered to another request, "
+        << tally.late_wrong_answers << " after it; " << tally.unserved << " not served";
     if (!tally.trace.empty()) out << "\n" << tally.trace;
     return out;
 }
@@ -154,7 +153,8 @@
     }
 }
 
-// How a request came to be given the answer to another one, by the times since the answer before that one.
+// Describes how a client was given the response to another request, with times since the previous response on
+// the connection.
 std::string trace_of(const Record& record, const WrittenAnswer& answer, std::size_t call,
                      Steady::time_point got_at) {
     const auto from = answer.at - answer.behind.value_or(Micros{});
@@ -162,14 +162,14 @@
         return std::to_string(std::chrono::duration_cast<Micros>(at - from).count()) + " us";
     };
     std::ostringstream text;
-    text << "connection " << answer.connection << ": answer written at 0 us";
+    text << "connection " << answer.connection << ": response written at 0 us";
     for (const SeenRequest& request : record.requests) {
         if (request.connection != answer.connection || request.call != call) continue;
-        text << ", request " << call << " seen at " << since(request.at);
+        text << ", request " << call << " received at " << since(request.at);
     }
-    text << ", " << (answer.turn == Turn::second ? "second" : "first") << " answer to request " << answer.call
-         << " written at " << since(answer.at) << ", given to the client of request " << call << " by "
-         << since(got_at);
+    text << ", " << (answer.turn == Turn::second ? "duplicate" : "first") << " response to request "
+         << answer.call << " written at " << since(answer.at) << ", given to the client of request " << call
+         << " by " << since(got_at);
     return text.str();
 }
 
@@ -179,7 +179,7 @@
     return std::stoul(std::string(text.substr(at + name.size())));
 }
 
-// One connection of an upstream, which answers each request once its time of service is over.
+// One connection of an upstream, which responds to each request after its service time.
 class TwiceConnection : public std::enable_shared_from_this<TwiceConnection> {
 public:
     TwiceConnection(tcp::socket socket, const std::vector<Plan>& plans, Record& record,
@@ -206,7 +206,7 @@
     }
 
 private:
-    // A request counts as seen when it stands in the socket: an answer that is written after that crosses it.
+    // A request counts as received once it is in the socket: a response written after that crosses it.
     void notice_request() {
         if (noticed_) return;
         noticed_.emplace();
@@ -267,10 +267,10 @@
     tcp::socket socket_;
     const std::vector<Plan>& plans_;
     Record& record_;
-    std::size_t& used_requests_;  // of the upstream
+    std::size_t& used_requests_;  // of the whole upstream
     const std::size_t number_;
     std::optional<Steady::time_point> last_answer_at_;
-    std::optional<SeenRequest> noticed_;  // a request that stands in the socket or is half read
+    std::optional<SeenRequest> noticed_;  // a request that is in the socket or partly read
     std::string in_;
     bool ended_ = false;
     char piece_[4096];
@@ -300,13 +300,13 @@
     std::size_t used_requests_ = 0;
 };
 
-// The requests that are still to be sent, which all clients share.
+// The requests that have not been sent yet, shared by all clients.
 struct Queue {
     std::size_t next = 0;
     std::size_t end = 0;
 };
 
-// Sends one request after another on its connection, each when the pause before it is over.
+// Sends one request after another on its connection, each after its pause.
 class PausingClient {
 public:
     PausingClient(Stage& stage, Queue& queue, const std::vector<Plan>& plans, const Record& record,
@@ -315,7 +315,7 @@
         next();
     }
 
-    // Takes what has come; true once nothing is left to do.
+    // Handles what has arrived; returns true once nothing is left to do.
     bool done() {
         if (!call_ || pausing_) return !call_;
         if (const std::string message = wire_->take(); !message.empty()) {
@@ -368,11 +368,11 @@
     Tally& tally_;
     asio::steady_timer pause_;
     std::shared_ptr<Wire> wire_;
-    std::optional<std::size_t> call_;  // the request that it sends or waits for
+    std::optional<std::size_t> call_;  // the request that is next or in flight
     bool pausing_ = false;
 };
 
-// A new balancer, its upstreams and clients, until all requests are answered.
+// Runs a new balancer, its upstreams and its clients until all requests have a response.
 void play_episode(std::size_t clients, std::size_t upstreams, std::mt19937_64& random, Tally& tally) {
     Stage stage(static_cast<int>(upstreams));
     Record record;
@@ -398,8 +398,8 @@
 
 class SecondAnswersUnderLoad : public ::testing::TestWithParam<Load> {};
 
-// Guards against a connection that is used again before its rest is over, be it that many rest: a second
-// answer that comes within the rest is then given to another client.
+// Guards against a connection that is reused before its reuse delay is over, also while many connections are
+// idle: a duplicate response within the delay is then given to another client.
 TEST_P(SecondAnswersUnderLoad, ReachNoOtherRequest) {
     std::mt19937_64 random(GetParam().seed);
     Tally tally;
@@ -425,7 +425,7 @@
 INSTANTIATE_TEST_SUITE_P(Loads, SecondAnswersUnderLoad, ::testing::ValuesIn(loads()),
                          [](const auto& info) { return name_of(info.param); });
 
-// Holds up the loop once, for longer than a connection rests, in the turn in which it is told to.
+// Blocks the loop once, for longer than the reuse delay, in the turn that follows begin().
 class HoldUp {
 public:
     explicit HoldUp(asio::io_context& loop) : near_(loop), far_(loop) {
@@ -445,14 +445,14 @@
     tcp::socket far_;
 };
 
-// An answer that takes so many bytes in all.
+// A response of that many bytes in total.
 std::string answer_of_size(std::size_t bytes) {
     const std::size_t framing = ok(std::string(bytes, '.')).size() - bytes;
     return ok(std::string(bytes - framing, '.'));
 }
 
-// What the second client gets where both answers to the first one's request come at once, and the second
-// one's request comes in the same turn, which is held up between the two.
+// Returns the second client's response where both responses to the first client's request arrive at once and
+// the second client's request arrives in the same turn of the loop, which is blocked between the two.
 std::string next_after_both_answers(std::size_t bytes_of_first) {
     Stage s(1);
     s.start();
@@ -469,9 +469,9 @@
     return s.answer(*two);
 }
 
-// Guards against a second answer that the system has handed over and the loop has not: where the first ends
-// with what is read at once, the next read has the second already, and its connection looks quiet. The sizes
-// are those that a read may have.
+// Guards against a duplicate response that the system has delivered but the loop has not handled: where the
+// first response ends exactly at the end of a read, the next read already holds the duplicate, and the
+// connection looks quiet. The sizes are those that a read may have.
 TEST(SecondAnswerInAHeldUpTurn, ReachesNoOtherRequest) {
     for (const std::size_t bytes : {4096U, 8192U, 16384U}) {
         EXPECT_TRUE(has(next_after_both_answers(bytes), "to the second")) << bytes << " bytes";
--- a/tests/second_answer_tally_test.cpp
+++ b/tests/second_answer_tally_test.cpp
@@ -1,4 +1,4 @@
-// What the log says of upstreams that answered a request twice.
+// The log summary of duplicate responses.
 #include "net/second_answer_tally.h"
 
 #include <gtest/gtest.h>
@@ -22,9 +22,10 @@
     tally.count(milliseconds(10));
     tally.count(milliseconds(99));
     tally.count(milliseconds(250));
-    EXPECT_EQ(tally.take_text(),
-              "answered twice 8 (at once 1, within 1 ms 2, 2 ms 1, 5 ms 1, 10 ms 1, 100 ms 1, later 1, "
-              "latest 250.0 ms)");
+    EXPECT_EQ(
+        tally.take_text(),
+        "duplicate responses 8 (immediate 1, within 1 ms 2, 2 ms 1, 5 ms 1, 10 ms 1, 100 ms 1, later 1, "
+        "max 250.0 ms)");
 }
 
 TEST(SecondAnswerTally, BeginsAnewOnceItWasTaken) {
@@ -33,9 +34,10 @@
     tally.take_text();
     EXPECT_EQ(tally.take_text(), "");
     tally.count(milliseconds(1));
-    EXPECT_EQ(tally.take_text(),
-              "answered twice 1 (at once 0, within 1 ms 1, 2 ms 0, 5 ms 0, 10 ms 0, 100 ms 0, later 0, "
-              "latest 1.0 ms)");
+    EXPECT_EQ(
+        tally.take_text(),
+        "duplicate responses 1 (immediate 0, within 1 ms 1, 2 ms 0, 5 ms 0, 10 ms 0, 100 ms 0, later 0, "
+        "max 1.0 ms)");
 }
 
 }  // namespace
--- a/tests/second_answer_worlds_test.cpp
+++ b/tests/second_answer_worlds_test.cpp
@@ -1,5 +1,6 @@
-// Why a program that keeps connections to upstreams can't rule out that a second answer is taken for the
-// answer to the next request: two upstreams, of which only one answers twice, and which it can't tell apart.
+// Shows why a program that reuses connections to upstreams cannot rule out that a duplicate response is taken
+// for the response to the next request: it cannot tell an upstream that sends duplicates from one that does
+// not.
 #include <gtest/gtest.h>
 
 #include "peers.h"
@@ -9,24 +10,25 @@
 
 namespace {
 
-// Far longer than a connection rests after an answer.
+// Far longer than the reuse delay.
 constexpr auto longer_than_rest = std::chrono::milliseconds(200);
 
 enum class World { each_request_is_answered_once, the_first_is_answered_twice };
 
-// What an upstream says, and the request that it belongs to, which the bytes don't tell.
+// What an upstream sends, and the request that it responds to, which the bytes do not tell.
 struct Said {
     std::string bytes;
     std::string belongs_to;
 };
 
-// Keeps a stock, and tells everyone who asks the same.
+// Gives the same stock level in every response.
 class Upstream {
 public:
     explicit Upstream(World world) : world_(world) {}
 
-    // What it says next once a request has come whole. Where it answers the first one twice, it does so on
-    // the second, whose own answer never comes.
+    // Returns what the upstream sends once a request has arrived whole. An upstream that responds to the
+    // first request twice sends the duplicate when the second request arrives, and never responds to that
+    // one.
     Said on_request(const std::string& call_id) {
         if (first_.empty()) first_ = call_id;
         const bool again = world_ == World::the_first_is_answered_twice;
@@ -38,7 +40,7 @@
     std::string first_;
 };
 
-// The host tells an upstream the time that is left, which is of its own making and differs from play to play.
+// Removes X-Budget-Ms: the host sets it to the time left, which differs from run to run.
 std::string without_budget(std::string request) {
     const std::string name = "X-Budget-Ms: ";
     const auto begin = request.find(name);
@@ -47,12 +49,12 @@
 
 struct Played {
     std::vector<std::string> seen;        // by the host on its connections to the upstream, in order
-    std::vector<std::string> answers;     // that its client got
-    std::vector<std::string> asked;       // the requests of its client, in order
-    std::vector<std::string> belongs_to;  // the requests that these answers belong to
+    std::vector<std::string> answers;     // received by the client
+    std::vector<std::string> asked;       // the requests of the client, in order
+    std::vector<std::string> belongs_to;  // the requests that these responses belong to
 };
 
-// A client asks for the same twice, the second time when the connection of the first has rested.
+// A client sends the same request twice, the second time after the reuse delay of the first one's connection.
 Played play(World world) {
     Stage s(1);
     s.start();
@@ -73,15 +75,15 @@
         const auto rested = std::chrono::steady_clock::now() + longer_than_rest;
         s.until([&] { return std::chrono::steady_clock::now() >= rested; });
     }
-    EXPECT_TRUE(used.front() == used.back()) << "the connection was not kept";
+    EXPECT_TRUE(used.front() == used.back()) << "the connection was not reused";
     for (const auto& wire : s.upstreams[0]->wires) played.seen.push_back(wire->ended ? "ended" : "stands");
     return played;
 }
 
-// Kept.ReusesAConnection asks that the answer reaches the client, the listed
-// Idle.ASecondAnswerLaterThanTheRestIsNeverGivenToTheNextRequest that it doesn't. They differ in the words of
-// the body alone, which belong to clients. Where a connection carries a further request that doesn't say that
-// it is the last one, one of the two has to fail.
+// Kept.ReusesAConnection requires that the response reaches the client, the known failure
+// Idle.ASecondAnswerLaterThanTheRestIsNeverGivenToTheNextRequest that it does not. The two differ only in the
+// text of the body, which is opaque to the balancer. Where a connection carries another request that is not
+// marked as its last, one of the two has to fail.
 TEST(TwoWorlds, AnAnswerAndALateSecondAnswerLookTheSame) {
     const Played once = play(World::each_request_is_answered_once);
     const Played twice = play(World::the_first_is_answered_twice);
--- a/tests/slow_upstream.h
+++ b/tests/slow_upstream.h
@@ -1,4 +1,4 @@
-// An upstream whose connections are held back, and what else several test files need round a Stage.
+// An upstream that delays accepting connections, and helpers for the tests that use a Stage.
 #pragma once
 
 #include <memory>
@@ -9,7 +9,8 @@
 
 namespace flaxdoor::test {
 
-// Has every event that is on its way by now been handled? Each answer needs turns of the loop of its own.
+// Runs the loop until every event that is pending now has been handled. Each response needs turns of the loop
+// of its own.
 inline void settle(Stage& s) {
     for (int i = 0; i < 3; ++i) {
         const auto client = s.client();
@@ -21,7 +22,7 @@
 inline const std::string turned_away =
     "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
 
-// An upstream of which connections come up only when it is let: its queue of them is full till then.
+// An upstream to which connections are established only on demand: until then its listen backlog is full.
 class Slow {
 public:
     explicit Slow(Stage& s) : loop_(s.loop), acceptor_(s.loop) {
@@ -39,12 +40,13 @@
         lines_.back()->async_connect(acceptor_.local_endpoint(), [this, line = lines_.back()](auto error) {
             through_ += !error;
             boost::system::error_code ignored;
-            asio::write(*line, asio::buffer("x", 1), ignored);  // or the listener's side may not come up
+            asio::write(*line, asio::buffer("x", 1),
+                        ignored);  // without data, the listener's side may not come up
         });
     }
-    // Takes connections, until all that wait in line have come through.
+    // Accepts connections until all queued ones are established.
     void let(Stage& s) {
-        wait_in_line();  // behind the host's
+        wait_in_line();  // queued behind the host's connections
         accept();
         s.until([&] { return through_ == lines_.size() && wires.size() >= lines_.size(); });
         settle(s);
@@ -67,6 +69,7 @@
     std::size_t through_ = 0;
 };
 
+// Extends deadlines and the connect timeout, so that no slow connection attempt is given up.
 inline void allow_slow_connections(Stage& s) {
     for (auto& c : s.config["settings"]["services"]) c["aim"] = 15000.0;
     for (auto& c : s.config["settings"]["services"]) c["hard_limit"] = 15000.0;
