--- a/src/net/upstreams.cpp
+++ b/src/net/upstreams.cpp
@@ -22,13 +22,13 @@
     const bool turns_away = answer.result() == http::status::service_unavailable ||
                             answer.result() == http::status::gateway_timeout;
     // A 503 or 504 without X-Rejected may be sent for a request that has already run.
-    return turns_away && answer["X-Rejected"] == "1" ? Outcome::full : Outcome::error;
+    return turns_away && answer["X-Rejected"] == "1" ? Outcome::rejected : Outcome::error;
 }
 
 }  // namespace
 
-Report parse_report(std::string_view text, const std::vector<std::string>& fields) {
-    Report report(fields.size(), 0.0F);
+LoadReport parse_report(std::string_view text, const std::vector<std::string>& fields) {
+    LoadReport report(fields.size(), 0.0F);
     std::size_t found = 0;
     while (!text.empty()) {
         const auto comma = text.find(',');
@@ -47,7 +47,7 @@
         report[static_cast<std::size_t>(field - fields.begin())] = value;
         ++found;
     }
-    return found == fields.size() ? report : Report{};
+    return found == fields.size() ? report : LoadReport{};
 }
 
 // A connection that carries one exchange at a time. It always waits for input, also while idle, so that a
@@ -106,7 +106,7 @@
     // Closes the connection too: a response that still arrives on it must not be taken for another request's.
     void cancel() { end(Outcome::cancelled); }
     void withdraw() {
-        if (attempt_) end(Outcome::moot);
+        if (attempt_) end(Outcome::not_sent);
     }
 
     // Whether the whole request has been handed to the socket. Until then the upstream has not run it.
@@ -174,7 +174,7 @@
         } else if (whole()) {
             end(Outcome::timeout);
         } else if (owner_.clock_.now() >= send_by_) {
-            end(Outcome::moot);
+            end(Outcome::not_sent);
         } else {
             ++owner_.figures_.slow;
             end(Outcome::connect_failed);
@@ -184,7 +184,7 @@
     void write() {
         // After `send_by`, because the connection came up late or the loop is delayed, the request could run
         // a second time.
-        if (owner_.clock_.now() >= send_by_) return end(Outcome::moot);
+        if (owner_.clock_.now() >= send_by_) return end(Outcome::not_sent);
         if (!write_some(socket_, out_, written_)) return broken();
         arm(whole() ? expires_ : send_by_);
         if (whole()) return;
@@ -244,7 +244,7 @@
     void answered(bool ended) {
         HttpResponse answer = parser_->release();
         const Outcome outcome = outcome_of(answer);
-        const bool refused = outcome == Outcome::full;
+        const bool refused = outcome == Outcome::rejected;
         const Time now = owner_.clock_.now();
         if (read_second_answer()) owner_.pool_.on_second_answer(upstream_, now, Micros{0});
         // The only valid response to a partially written request is a rejection, and no bytes may follow a
@@ -326,7 +326,7 @@
     const Time now = clock_.now();
     const auto address = addresses_.find(upstream);
     if (now >= expires || address == addresses_.end()) {
-        report(attempt, upstream, Outcome::moot, now);
+        report(attempt, upstream, Outcome::not_sent, now);
         return;
     }
     // Probes use connections of their own: a late response to a probe must not reach a client, nor a late
@@ -340,7 +340,7 @@
         attempts_.emplace(attempt, opened);
         opened->connect(address->second, attempt, std::move(request), expires, send_by);
     } else {
-        report(attempt, upstream, Outcome::moot, now);
+        report(attempt, upstream, Outcome::not_sent, now);
     }
 }
 
@@ -380,7 +380,7 @@
     ++figures_.sent;
     figures_.reset += outcome == Outcome::reset;
     figures_.timeout += outcome == Outcome::timeout;
-    figures_.moot += outcome == Outcome::moot;
+    figures_.moot += outcome == Outcome::not_sent;
     AttemptResult result{attempt, upstream, outcome, latency, {}, std::move(answer), doubtful};
     if (!report_fields_.empty()) {
         const auto text = result.answer["X-Load-Report"];
--- a/src/net/upstreams.h
+++ b/src/net/upstreams.h
@@ -35,7 +35,7 @@
     UpstreamId upstream = 0;
     Outcome outcome = Outcome::ok;
     Micros latency{};
-    Report report;
+    LoadReport report;
     HttpResponse answer;    // as received; empty if there was none
     bool doubtful = false;  // see AttemptEnd
 };
@@ -74,11 +74,11 @@
     void close_idle(UpstreamId upstream);
     // Sends the request once, with the time left until `expires` in X-Budget-Ms; without a response by then,
     // the attempt times out. An attempt whose request has not been written completely by `send_by` ends as
-    // moot, as does one to an upstream without a known address or beyond the limit of connections.
+    // not_sent, as does one to an upstream without a known address or beyond the limit of connections.
     void send(AttemptKey attempt, UpstreamId upstream, HttpRequest request, Time expires, Time send_by);
     // Ends the attempt as cancelled and closes its connection; does nothing if the attempt has ended.
     void cancel(AttemptKey attempt);
-    // Ends as moot those of the attempts selected by the predicate whose request has not been written
+    // Ends as not_sent those of the attempts selected by the predicate whose request has not been written
     // completely.
     void withdraw(const std::function<bool(AttemptKey, UpstreamId)>& concerned);
     // Sends a GET request for `path` to the upstream on a connection of its own. The result goes to
@@ -123,6 +123,6 @@
 
 // Returns the values in the order of `fields`; empty if the text lacks one of them or holds a value that is
 // not a finite number.
-Report parse_report(std::string_view text, const std::vector<std::string>& fields);
+LoadReport parse_report(std::string_view text, const std::vector<std::string>& fields);
 
 }  // namespace flaxdoor::net
