--- a/src/net/host.cpp
+++ b/src/net/host.cpp
@@ -213,7 +213,7 @@
     if (found == open_.end() || found->second.answered) return;
     found->second.answered = true;
     // Guards against a connection that comes up after the client has gone, where nothing may be cancelled.
-    upstreams_.withdraw([=](AttemptKey attempt, UpstreamId) { return attempt.request == request; });
+    upstreams_.withdraw_unsent([=](AttemptKey attempt, UpstreamId) { return attempt.request == request; });
     handle([=, this](Time now) { policy_.on_client_gone(now, request); });
     forget_if_over(request);
 }
@@ -226,16 +226,16 @@
     --found->second.in_flight;
     if (result.outcome == Outcome::ok && !found->second.answered) {
         found->second.answered = true;
-        strip_hop_by_hop(result.answer);
-        result.answer.erase("X-Load-Report");
-        clients_.answer(request, std::move(result.answer));
+        strip_hop_by_hop(result.response);
+        result.response.erase("X-Load-Report");
+        clients_.answer(request, std::move(result.response));
     }
     AttemptEnd end;
     end.request = request;
     end.attempt = result.attempt.number;
     end.outcome = result.outcome;
     end.request_done = found->second.answered;
-    end.possible_duplicate = result.doubtful;
+    end.possible_duplicate = result.possible_duplicate;
     end.latency = result.latency;
     end.upstream = result.upstream;
     end.report = std::move(result.report);
@@ -244,7 +244,7 @@
 }
 
 // Its client may have gone meanwhile, and the news of it be next in the loop.
-void Host::on_connection(AttemptKey attempt) { clients_.notice_end(attempt.request); }
+void Host::on_connected(AttemptKey attempt) { clients_.notice_end(attempt.request); }
 
 void Host::on_probe_result(ProbeResult result) {
     handle([this, result = std::move(result)](Time now) { policy_.on_probe_result(now, result); });
@@ -270,7 +270,7 @@
     }
     // Guards against a connection that comes up after its upstream has been told to drain: what was sent
     // there and has not gone out goes elsewhere.
-    upstreams_.withdraw([&](AttemptKey, UpstreamId upstream) {
+    upstreams_.withdraw_unsent([&](AttemptKey, UpstreamId upstream) {
         const auto found = std::find_if(entries.begin(), entries.end(),
                                         [&](const UpstreamEntry& e) { return e.id == upstream; });
         return found == entries.end() ? list.whole : found->state != UpstreamState::ready;
@@ -352,7 +352,7 @@
 
 // For whoever looks into a bad day: a line every few seconds in which there was work.
 void Host::log_figures() {
-    if (const auto line = upstreams_.figures(); !line.empty()) net::log(line);
+    if (const auto line = upstreams_.take_summary(); !line.empty()) net::log(line);
     figures_.expires_after(figures_gap);
     figures_.async_wait([this](error_code error) {
         if (!error) log_figures();
--- a/src/net/host.h
+++ b/src/net/host.h
@@ -76,7 +76,7 @@
     void on_client_request(ClientRequest request) override;
     void on_client_left(RequestId request) override;
     void on_attempt_result(AttemptResult result) override;
-    void on_connection(AttemptKey attempt) override;
+    void on_connected(AttemptKey attempt) override;
     void on_probe_result(ProbeResult result) override;
     void on_list(List list) override;
     void on_list_failed(ListFailure failure) override;
--- a/src/net/refusal_tally.h
+++ b/src/net/refusal_tally.h
@@ -13,18 +13,18 @@
 namespace flaxdoor::net {
 
 // Counts rejections by upstream.
-class RefusalTally {
+class RejectionStats {
 public:
-    // `left`: time until the attempt's deadline when the rejection arrived.
-    void count(UpstreamId upstream, Micros left);
+    // `time_left`: time until the attempt's deadline when the rejection arrived.
+    void record(UpstreamId upstream, Micros time_left);
 
     // Returns a text like "rejected 9 (by 2 upstreams, most 7 by 5be2a07c, least time left 12 ms)", empty if
     // there were no rejections, and resets the counters.
-    std::string take_text();
+    std::string take_summary();
 
 private:
-    std::unordered_map<UpstreamId, unsigned> by_upstream_;
-    Micros least_left_ = Micros::max();
+    std::unordered_map<UpstreamId, unsigned> counts_;
+    Micros min_time_left_ = Micros::max();
 };
 
 }  // namespace flaxdoor::net
--- a/src/net/second_answer_tally.h
+++ b/src/net/second_answer_tally.h
@@ -14,19 +14,19 @@
 namespace flaxdoor::net {
 
 // Counts duplicate responses by their delay.
-class SecondAnswerTally {
+class DuplicateResponseStats {
 public:
-    // `late_by`: time from reading the first response to reading the duplicate; 0 if both came in the same
+    // `delay`: time from reading the first response to reading the duplicate; 0 if both came in the same
     // read.
-    void count(Micros late_by);
+    void record(Micros delay);
 
     // Returns a text like "duplicate responses 4 (immediate 1, within 1 ms 0, 2 ms 0, 5 ms 2, 10 ms 0, 100 ms
     // 0, later 1, max 250.0 ms)", empty if there were none, and resets the counters.
-    std::string take_text();
+    std::string take_summary();
 
 private:
     // Upper bounds of the buckets; the last bucket has none.
-    static constexpr std::array<Micros, 6> bounds = {
+    static constexpr std::array<Micros, 6> bucket_bounds = {
         Micros{0},
         std::chrono::milliseconds(1),
         std::chrono::milliseconds(2),
@@ -35,8 +35,8 @@
         std::chrono::milliseconds(100),
     };
 
-    std::array<unsigned, bounds.size() + 1> counts_{};
-    Micros latest_{};
+    std::array<unsigned, bucket_bounds.size() + 1> bucket_counts_{};
+    Micros max_delay_{};
 };
 
 }  // namespace flaxdoor::net
--- a/src/net/upstreams.cpp
+++ b/src/net/upstreams.cpp
@@ -11,18 +11,18 @@
 
 namespace {
 
-constexpr RequestId probe_request = 0;  // request id of all probes; ids of client requests start at 1
-constexpr double idle_share =
-    0.9;  // of the upstreams' idle timeout, after which idle connections are closed from this side
+constexpr RequestId probe_request_id = 0;  // request id of all probes; ids of client requests start at 1
+// Fraction of the upstreams' idle timeout after which idle connections are closed from this side.
+constexpr double idle_close_fraction = 0.9;
 
-bool is_probe(AttemptKey attempt) { return attempt.request == probe_request; }
+bool is_probe(AttemptKey attempt) { return attempt.request == probe_request_id; }
 
-Outcome outcome_of(const HttpResponse& answer) {
-    if (answer.result() == http::status::ok) return Outcome::ok;
-    const bool turns_away = answer.result() == http::status::service_unavailable ||
-                            answer.result() == http::status::gateway_timeout;
+Outcome outcome_of(const HttpResponse& response) {
+    if (response.result() == http::status::ok) return Outcome::ok;
+    const bool is_unavailable = response.result() == http::status::service_unavailable ||
+                                response.result() == http::status::gateway_timeout;
     // A 503 or 504 without X-Rejected may be sent for a request that has already run.
-    return turns_away && answer["X-Rejected"] == "1" ? Outcome::rejected : Outcome::error;
+    return is_unavailable && response["X-Rejected"] == "1" ? Outcome::rejected : Outcome::error;
 }
 
 }  // namespace
@@ -59,58 +59,61 @@
         : owner_(owner), upstream_(upstream), socket_(owner.loop_), timer_(owner.loop_) {}
 
     UpstreamId upstream() const override { return upstream_; }
-    bool is_quiet() override { return buffer_.size() == 0 && quiet(socket_); }
-    bool has_second_answer() override { return read_second_answer() || begins_answer(peek(socket_)); }
+    bool has_no_pending_input() override { return buffer_.size() == 0 && quiet(socket_); }
+    bool has_duplicate_response() override {
+        return has_read_duplicate_response() || begins_answer(peek(socket_));
+    }
 
-    void connect(const tcp::endpoint& address, AttemptKey attempt, HttpRequest request, Time expires,
+    void connect(const tcp::endpoint& address, AttemptKey attempt, HttpRequest request, Time deadline,
                  Time send_by) {
         address_ = address;
-        begin(attempt, std::move(request), expires, send_by);
+        start_attempt(attempt, std::move(request), deadline, send_by);
         error_code error;
         socket_.open(address.protocol(), error);
         if (!error) socket_.non_blocking(true, error);
         if (error) {
-            ++owner_.figures_.refused;
-            end(Outcome::connect_failed);
+            ++owner_.stats_.connect_errors;
+            finish_attempt(Outcome::connect_failed);
             return;
         }
         socket_.set_option(tcp::no_delay(true), error);
-        const Micros limit = owner_.limits_.connect;
-        arm(limit > Micros{0} ? std::min(send_by_, since_ + limit) : send_by_);
-        socket_.async_connect(address, [self = shared_from_this()](error_code failed) {
+        const Micros connect_timeout = owner_.limits_.connect_timeout;
+        arm_timer(connect_timeout > Micros{0} ? std::min(send_by_, started_at_ + connect_timeout) : send_by_);
+        socket_.async_connect(address, [self = shared_from_this()](error_code connect_error) {
             if (self->closed_) return;
-            if (failed) {
-                ++self->owner_.figures_.refused;
-                self->end(Outcome::connect_failed);
+            if (connect_error) {
+                ++self->owner_.stats_.connect_errors;
+                self->finish_attempt(Outcome::connect_failed);
                 return;
             }
             self->serialize();
             self->connected_ = true;
-            Figures& figures = self->owner_.figures_;
-            ++figures.made;
-            figures.slowest = std::max(figures.slowest, self->owner_.clock_.now() - self->since_);
-            self->owner_.events_.on_connection(*self->attempt_);
+            Stats& stats = self->owner_.stats_;
+            ++stats.established;
+            stats.slowest_connect =
+                std::max(stats.slowest_connect, self->owner_.clock_.now() - self->started_at_);
+            self->owner_.events_.on_connected(*self->attempt_);
             if (self->closed_) return;
             self->read();
             self->write();
         });
     }
 
-    void reuse(AttemptKey attempt, HttpRequest request, Time expires, Time send_by) {
+    void reuse(AttemptKey attempt, HttpRequest request, Time deadline, Time send_by) {
         reused_ = true;
-        begin(attempt, std::move(request), expires, send_by);
+        start_attempt(attempt, std::move(request), deadline, send_by);
         serialize();
         write();
     }
 
     // Closes the connection too: a response that still arrives on it must not be taken for another request's.
-    void cancel() { end(Outcome::cancelled); }
+    void cancel() { finish_attempt(Outcome::cancelled); }
     void withdraw() {
-        if (attempt_) end(Outcome::not_sent);
+        if (attempt_) finish_attempt(Outcome::not_sent);
     }
 
     // Whether the whole request has been handed to the socket. Until then the upstream has not run it.
-    bool whole() const { return connected_ && written_ == out_.size(); }
+    bool request_written() const { return connected_ && written_bytes_ == request_bytes_.size(); }
 
     void close() override {
         if (closed_) return;
@@ -125,69 +128,70 @@
     // Schedules closing of this idle connection before the upstream's idle timeout.
     void arm_idle_close(Time now) {
         timer_.cancel();
-        if (owner_.limits_.idle <= Micros{0}) return;
-        const auto trusted = static_cast<double>(owner_.limits_.idle.count()) * idle_share;
-        arm(now + Micros(std::llround(trusted)));
+        if (owner_.limits_.idle_timeout <= Micros{0}) return;
+        const auto local_idle_timeout_us =
+            static_cast<double>(owner_.limits_.idle_timeout.count()) * idle_close_fraction;
+        arm_timer(now + Micros(std::llround(local_idle_timeout_us)));
     }
 
-    void begin(AttemptKey attempt, HttpRequest request, Time expires, Time send_by) {
+    void start_attempt(AttemptKey attempt, HttpRequest request, Time deadline, Time send_by) {
         attempt_ = attempt;
         request_ = std::move(request);
-        since_ = owner_.clock_.now();
-        expires_ = expires;
-        send_by_ = std::min(send_by, expires);
-        start_answer();
+        started_at_ = owner_.clock_.now();
+        deadline_ = deadline;
+        send_by_ = std::min(send_by, deadline);
+        reset_parser();
     }
 
     // Called only once the connection is established, so that X-Budget-Ms holds the time left from then on.
     void serialize() {
         if (!is_probe(*attempt_)) {
             const auto left =
-                std::chrono::duration_cast<std::chrono::milliseconds>(expires_ - owner_.clock_.now());
+                std::chrono::duration_cast<std::chrono::milliseconds>(deadline_ - owner_.clock_.now());
             request_.set("X-Budget-Ms", std::to_string(std::max<std::int64_t>(1, left.count())));
         }
-        out_ = to_bytes(request_);
-        written_ = 0;
+        request_bytes_ = to_bytes(request_);
+        written_bytes_ = 0;
         request_ = {};
     }
 
-    void start_answer() {
+    void reset_parser() {
         parser_.emplace();
         parser_->header_limit(header_most);
         parser_->body_limit(body_most);
         parser_->eager(true);
     }
 
-    void arm(Time at) {
+    void arm_timer(Time at) {
         timer_.expires_at(owner_.clock_.steady(at));
         timer_.async_wait([self = shared_from_this()](error_code error) {
             // The handler of a timer that was rescheduled in the meantime may have been queued already.
             const bool due = self->timer_.expiry() <= Clock::Steady::now();
-            if (!error && !self->closed_ && due) self->time_up();
+            if (!error && !self->closed_ && due) self->on_timer();
         });
     }
 
     // A request whose last byte was never written has not run, whatever ended the attempt.
-    void time_up() {
+    void on_timer() {
         if (!attempt_) {
             owner_.pool_.discard(shared_from_this(), owner_.clock_.now());
-        } else if (whole()) {
-            end(Outcome::timeout);
+        } else if (request_written()) {
+            finish_attempt(Outcome::timeout);
         } else if (owner_.clock_.now() >= send_by_) {
-            end(Outcome::not_sent);
+            finish_attempt(Outcome::not_sent);
         } else {
-            ++owner_.figures_.slow;
-            end(Outcome::connect_failed);
+            ++owner_.stats_.connect_timeouts;
+            finish_attempt(Outcome::connect_failed);
         }
     }
 
     void write() {
         // After `send_by`, because the connection came up late or the loop is delayed, the request could run
         // a second time.
-        if (owner_.clock_.now() >= send_by_) return end(Outcome::not_sent);
-        if (!write_some(socket_, out_, written_)) return broken();
-        arm(whole() ? expires_ : send_by_);
-        if (whole()) return;
+        if (owner_.clock_.now() >= send_by_) return finish_attempt(Outcome::not_sent);
+        if (!write_some(socket_, request_bytes_, written_bytes_)) return on_broken_connection();
+        arm_timer(request_written() ? deadline_ : send_by_);
+        if (request_written()) return;
         socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](error_code error) {
             if (!error && !self->closed_ && self->attempt_) self->write();
         });
@@ -195,17 +199,17 @@
 
     void read() {
         read_when_ready(socket_, buffer_, [self = shared_from_this()](error_code error) {
-            if (!self->closed_) self->take(error);
+            if (!self->closed_) self->on_read(error);
         });
     }
 
     // Whether the bytes read after the last response begin another response.
-    bool read_second_answer() const {
+    bool has_read_duplicate_response() const {
         const auto bytes = buffer_.data();
         return begins_answer({static_cast<const char*>(bytes.data()), bytes.size()});
     }
 
-    void take(error_code ended) {
+    void on_read(error_code read_error) {
         if (!attempt_) {  // idle: the upstream has closed the connection or sent unsolicited bytes
             owner_.pool_.discard(shared_from_this(), owner_.clock_.now());
             return;
@@ -215,69 +219,69 @@
             buffer_.consume(parser_->put(buffer_.data(), error));
             if (error || !parser_->is_done() || parser_->get().result_int() >= 200) break;
             // No request asks for an upgrade: what follows could not be parsed.
-            if (parser_->get().result() == http::status::switching_protocols) return unreadable();
-            start_answer();  // interim response; the final one follows
+            if (parser_->get().result() == http::status::switching_protocols) return on_malformed_response();
+            reset_parser();  // interim response; the final one follows
         }
-        if (error && error != http::error::need_more) return unreadable();
-        if (ended == asio::error::eof && parser_->got_some() && !parser_->is_done()) {
-            error_code cut;
-            parser_->put_eof(cut);
-            if (cut) return broken();
+        if (error && error != http::error::need_more) return on_malformed_response();
+        if (read_error == asio::error::eof && parser_->got_some() && !parser_->is_done()) {
+            error_code eof_error;
+            parser_->put_eof(eof_error);
+            if (eof_error) return on_broken_connection();
         }
-        if (parser_->is_done()) return answered(static_cast<bool>(ended));
-        if (ended) return broken();
+        if (parser_->is_done()) return on_response(static_cast<bool>(read_error));
+        if (read_error) return on_broken_connection();
         read();
     }
 
-    void broken() {
-        owner_.figures_.unwritten += !whole();
-        end(whole() ? Outcome::reset : Outcome::connect_failed);
+    void on_broken_connection() {
+        owner_.stats_.broken_before_send += !request_written();
+        finish_attempt(request_written() ? Outcome::reset : Outcome::connect_failed);
     }
 
     // Ends the attempt after invalid input. Unlike a broken connection, this is no sign that the upstream is
     // down. The request may have run.
-    void unreadable() {
-        ++owner_.figures_.unreadable;
-        end(whole() ? Outcome::error : Outcome::connect_failed);
+    void on_malformed_response() {
+        ++owner_.stats_.malformed;
+        finish_attempt(request_written() ? Outcome::error : Outcome::connect_failed);
     }
 
-    void answered(bool ended) {
-        HttpResponse answer = parser_->release();
-        const Outcome outcome = outcome_of(answer);
-        const bool refused = outcome == Outcome::rejected;
+    void on_response(bool connection_ended) {
+        HttpResponse response = parser_->release();
+        const Outcome outcome = outcome_of(response);
+        const bool rejected = outcome == Outcome::rejected;
         const Time now = owner_.clock_.now();
-        if (read_second_answer()) owner_.pool_.on_second_answer(upstream_, now, Micros{0});
+        if (has_read_duplicate_response()) owner_.pool_.on_duplicate_response(upstream_, now, Micros{0});
         // The only valid response to a partially written request is a rejection, and no bytes may follow a
         // rejection.
-        if (refused ? buffer_.size() > 0 : !whole()) return unreadable();
+        if (rejected ? buffer_.size() > 0 : !request_written()) return on_malformed_response();
         // After a response to a partially written request the message framing is uncertain.
-        const bool reusable = !ended && whole() && answer.keep_alive() && buffer_.size() == 0 &&
-                              address_ == owner_.addresses_.at(upstream_) &&
-                              owner_.pool_.keeps(upstream_, now) && !is_probe(*attempt_);
-        const bool doubtful = refused && reused_ && whole();
+        const bool reusable = !connection_ended && request_written() && response.keep_alive() &&
+                              buffer_.size() == 0 && address_ == owner_.addresses_.at(upstream_) &&
+                              owner_.pool_.may_keep(upstream_, now) && !is_probe(*attempt_);
+        const bool possible_duplicate = rejected && reused_ && request_written();
         const auto self = shared_from_this();
         const AttemptKey attempt = *attempt_;
-        const Time sent_at = since_;
-        if (refused && !is_probe(attempt)) owner_.refusals_.count(upstream_, expires_ - now);
+        const Time started_at = started_at_;
+        if (rejected && !is_probe(attempt)) owner_.rejections_.record(upstream_, deadline_ - now);
         attempt_.reset();
         owner_.attempts_.erase(attempt);
         if (reusable) {
             read();
             arm_idle_close(now);
-            owner_.pool_.keep(self, now);
+            owner_.pool_.add_idle(self, now);
         } else {
             close();
         }
-        owner_.report(attempt, upstream_, outcome, sent_at, std::move(answer), doubtful);
+        owner_.report(attempt, upstream_, outcome, started_at, std::move(response), possible_duplicate);
     }
 
-    void end(Outcome outcome) {
+    void finish_attempt(Outcome outcome) {
         const AttemptKey attempt = *attempt_;
         attempt_.reset();
         const auto self = shared_from_this();
         owner_.attempts_.erase(attempt);
         close();
-        owner_.report(attempt, upstream_, outcome, since_);
+        owner_.report(attempt, upstream_, outcome, started_at_);
     }
 
     Upstreams& owner_;
@@ -289,11 +293,11 @@
     std::optional<http::response_parser<http::string_body>> parser_;
     std::optional<AttemptKey> attempt_;
     HttpRequest request_;  // until it is serialized
-    std::string out_;
-    std::size_t written_ = 0;
-    Time since_{};  // when the attempt was handed over
-    Time expires_{};
-    Time send_by_{};  // never after `expires_`
+    std::string request_bytes_;
+    std::size_t written_bytes_ = 0;
+    Time started_at_{};  // when the attempt was handed over
+    Time deadline_{};
+    Time send_by_{};  // never after `deadline_`
     bool connected_ = false;
     bool reused_ = false;  // has carried another attempt before
     bool closed_ = false;
@@ -306,7 +310,7 @@
       limits_(limits),
       report_fields_(std::move(report_fields)),
       events_(events),
-      pool_({limits.connections, limits.single_use}) {}
+      pool_({limits.max_connections, limits.single_use_period}) {}
 
 Upstreams::~Upstreams() { stop(); }
 
@@ -317,37 +321,37 @@
     close_idle(upstream);  // they lead to the former address
 }
 
-void Upstreams::close_idle(UpstreamId upstream) { pool_.close_kept(upstream); }
+void Upstreams::close_idle(UpstreamId upstream) { pool_.close_idle(upstream); }
 
-std::size_t Upstreams::idle(UpstreamId upstream) const { return pool_.kept(upstream); }
+std::size_t Upstreams::idle_count(UpstreamId upstream) const { return pool_.idle_count(upstream); }
 
-void Upstreams::send(AttemptKey attempt, UpstreamId upstream, HttpRequest request, Time expires,
+void Upstreams::send(AttemptKey attempt, UpstreamId upstream, HttpRequest request, Time deadline,
                      Time send_by) {
     const Time now = clock_.now();
     const auto address = addresses_.find(upstream);
-    if (now >= expires || address == addresses_.end()) {
+    if (now >= deadline || address == addresses_.end()) {
         report(attempt, upstream, Outcome::not_sent, now);
         return;
     }
     // Probes use connections of their own: a late response to a probe must not reach a client, nor a late
     // response to a client's request count as a probe's.
-    const auto kept = is_probe(attempt) ? nullptr : pool_.take(upstream, now);
-    if (const auto connection = std::static_pointer_cast<Connection>(kept)) {
+    const auto pooled = is_probe(attempt) ? nullptr : pool_.take_ready(upstream, now);
+    if (const auto connection = std::static_pointer_cast<Connection>(pooled)) {
         attempts_.emplace(attempt, connection);
-        connection->reuse(attempt, std::move(request), expires, send_by);
+        connection->reuse(attempt, std::move(request), deadline, send_by);
     } else if (pool_.acquire_slot(now)) {
         const auto opened = std::make_shared<Connection>(*this, upstream);
         attempts_.emplace(attempt, opened);
-        opened->connect(address->second, attempt, std::move(request), expires, send_by);
+        opened->connect(address->second, attempt, std::move(request), deadline, send_by);
     } else {
         report(attempt, upstream, Outcome::not_sent, now);
     }
 }
 
-void Upstreams::probe(UpstreamId upstream, std::string_view path, Time expires) {
+void Upstreams::probe(UpstreamId upstream, std::string_view path, Time deadline) {
     HttpRequest request(http::verb::get, {path.data(), path.size()}, 11);
     request.set(http::field::host, "upstream");
-    send({probe_request, ++probes_}, upstream, std::move(request), expires, expires);
+    send({probe_request_id, ++probes_}, upstream, std::move(request), deadline, deadline);
 }
 
 void Upstreams::cancel(AttemptKey attempt) {
@@ -357,55 +361,56 @@
     connection->cancel();
 }
 
-void Upstreams::withdraw(const std::function<bool(AttemptKey, UpstreamId)>& concerned) {
-    std::vector<ConnectionPtr> unwritten;
+void Upstreams::withdraw_unsent(const std::function<bool(AttemptKey, UpstreamId)>& predicate) {
+    std::vector<ConnectionPtr> unsent;
     for (const auto& [attempt, connection] : attempts_) {
-        if (!connection->whole() && concerned(attempt, connection->upstream()))
-            unwritten.push_back(connection);
+        if (!connection->request_written() && predicate(attempt, connection->upstream()))
+            unsent.push_back(connection);
     }
-    for (const ConnectionPtr& connection : unwritten) {
-        ++figures_.withdrawn;
+    for (const ConnectionPtr& connection : unsent) {
+        ++stats_.withdrawn;
         connection->withdraw();
     }
 }
 
-void Upstreams::report(AttemptKey attempt, UpstreamId upstream, Outcome outcome, Time sent_at,
-                       HttpResponse answer, bool doubtful) {
-    const Micros latency = clock_.now() - sent_at;
+void Upstreams::report(AttemptKey attempt, UpstreamId upstream, Outcome outcome, Time started_at,
+                       HttpResponse response, bool possible_duplicate) {
+    const Micros latency = clock_.now() - started_at;
     if (is_probe(attempt)) {
         // The body of the response to a probe is the load report, if there is one.
-        events_.on_probe_result({upstream, outcome, latency, parse_report(answer.body(), report_fields_)});
+        events_.on_probe_result({upstream, outcome, latency, parse_report(response.body(), report_fields_)});
         return;
     }
-    ++figures_.sent;
-    figures_.reset += outcome == Outcome::reset;
-    figures_.timeout += outcome == Outcome::timeout;
-    figures_.moot += outcome == Outcome::not_sent;
-    AttemptResult result{attempt, upstream, outcome, latency, {}, std::move(answer), doubtful};
+    ++stats_.attempts;
+    stats_.reset += outcome == Outcome::reset;
+    stats_.timeout += outcome == Outcome::timeout;
+    stats_.not_sent += outcome == Outcome::not_sent;
+    AttemptResult result{attempt, upstream, outcome, latency, {}, std::move(response), possible_duplicate};
     if (!report_fields_.empty()) {
-        const auto text = result.answer["X-Load-Report"];
+        const auto text = result.response["X-Load-Report"];
         if (!text.empty()) result.report = parse_report({text.data(), text.size()}, report_fields_);
     }
     events_.on_attempt_result(std::move(result));
 }
 
-std::string Upstreams::figures() {
-    const Figures f = std::exchange(figures_, {});
-    ConnectionPool::Figures pool = pool_.take_figures();
-    const std::string second_answers = pool.second_answers.take_text();
-    if (f.sent == 0 && second_answers.empty()) return {};
+std::string Upstreams::take_summary() {
+    const Stats stats = std::exchange(stats_, {});
+    ConnectionPool::Stats pool_stats = pool_.take_stats();
+    const std::string duplicate_responses = pool_stats.duplicate_responses.take_summary();
+    if (stats.attempts == 0 && duplicate_responses.empty()) return {};
     char line[400];
     std::snprintf(
         line, sizeof line,
-        "attempts %u: malformed response %u, reset %u, timeout %u, moot %u, withdrawn %u; connections "
+        "attempts %u: malformed response %u, reset %u, timeout %u, not sent %u, withdrawn %u; connections "
         "%zu open, %u established (slowest %.1f ms), %u connect errors, %u connect timeouts, %u broken "
         "before send, %u stale; none reusable: no idle %u, reuse delay %u, single use %u",
-        f.sent, f.unreadable, f.reset, f.timeout, f.moot, f.withdrawn, pool_.open(), f.made,
-        static_cast<double>(f.slowest.count()) / 1e3, f.refused, f.slow, f.unwritten, pool.stale,
-        pool.none_kept, pool.resting, pool.single_use);
+        stats.attempts, stats.malformed, stats.reset, stats.timeout, stats.not_sent, stats.withdrawn,
+        pool_.open_count(), stats.established, static_cast<double>(stats.slowest_connect.count()) / 1e3,
+        stats.connect_errors, stats.connect_timeouts, stats.broken_before_send, pool_stats.stale,
+        pool_stats.none_idle, pool_stats.reuse_delayed, pool_stats.single_use);
     std::string text = line;
-    for (const std::string& tally : {second_answers, refusals_.take_text()}) {
-        if (!tally.empty()) text.append("; ").append(tally);
+    for (const std::string& summary : {duplicate_responses, rejections_.take_summary()}) {
+        if (!summary.empty()) text.append("; ").append(summary);
     }
     return text;
 }
--- a/src/net/upstreams.h
+++ b/src/net/upstreams.h
@@ -36,8 +36,8 @@
     Outcome outcome = Outcome::ok;
     Micros latency{};
     LoadReport report;
-    HttpResponse answer;    // as received; empty if there was none
-    bool doubtful = false;  // see AttemptEnd
+    HttpResponse response;            // as received; empty if there was none
+    bool possible_duplicate = false;  // see AttemptEnd
 };
 
 // Receives the results of Upstreams.
@@ -48,16 +48,16 @@
     virtual void on_attempt_result(AttemptResult result) = 0;
     // A connection has been established for the attempt. The attempt may be withdrawn during this call,
     // before its first byte is written.
-    virtual void on_connection(AttemptKey attempt) = 0;
+    virtual void on_connected(AttemptKey attempt) = 0;
     // Called exactly once per probe, possibly while probe() is still on the stack.
     virtual void on_probe_result(ProbeResult result) = 0;
 };
 
 struct UpstreamLimits {
-    Micros connect{};             // limit for establishing a connection; 0: no separate limit
-    Micros idle{};                // upstreams close idle connections after this; 0: unknown
-    std::size_t connections = 0;  // maximum over all upstreams
-    Micros single_use = ConnectionPoolLimits{}.single_use;  // see ConnectionPoolLimits
+    Micros connect_timeout{};         // limit for establishing a connection; 0: no separate limit
+    Micros idle_timeout{};            // upstreams close idle connections after this; 0: unknown
+    std::size_t max_connections = 0;  // maximum over all upstreams
+    Micros single_use_period = ConnectionPoolLimits{}.single_use_period;  // see ConnectionPoolLimits
 };
 
 // Sends attempts and probes to upstreams. A connection carries one exchange at a time, without pipelining.
@@ -72,41 +72,41 @@
     void set_address(UpstreamId upstream, const boost::asio::ip::tcp::endpoint& address);
     // Closes the idle connections to the upstream.
     void close_idle(UpstreamId upstream);
-    // Sends the request once, with the time left until `expires` in X-Budget-Ms; without a response by then,
+    // Sends the request once, with the time left until `deadline` in X-Budget-Ms; without a response by then,
     // the attempt times out. An attempt whose request has not been written completely by `send_by` ends as
     // not_sent, as does one to an upstream without a known address or beyond the limit of connections.
-    void send(AttemptKey attempt, UpstreamId upstream, HttpRequest request, Time expires, Time send_by);
+    void send(AttemptKey attempt, UpstreamId upstream, HttpRequest request, Time deadline, Time send_by);
     // Ends the attempt as cancelled and closes its connection; does nothing if the attempt has ended.
     void cancel(AttemptKey attempt);
     // Ends as not_sent those of the attempts selected by the predicate whose request has not been written
     // completely.
-    void withdraw(const std::function<bool(AttemptKey, UpstreamId)>& concerned);
+    void withdraw_unsent(const std::function<bool(AttemptKey, UpstreamId)>& predicate);
     // Sends a GET request for `path` to the upstream on a connection of its own. The result goes to
     // on_probe_result().
-    void probe(UpstreamId upstream, std::string_view path, Time expires);
+    void probe(UpstreamId upstream, std::string_view path, Time deadline);
     // Closes all connections; attempts in flight get no result.
     void stop();
 
     // Number of idle connections to the upstream.
-    std::size_t idle(UpstreamId upstream) const;
+    std::size_t idle_count(UpstreamId upstream) const;
 
     // Returns a log line on connections and attempts since the last call and resets the counters. The line is
     // empty if no attempt has ended and no duplicate response has arrived.
-    std::string figures();
+    std::string take_summary();
 
 private:
     class Connection;
     using ConnectionPtr = std::shared_ptr<Connection>;
 
     // Counters by cause, also for causes that the policy sees as the same outcome.
-    struct Figures {
-        unsigned sent = 0, made = 0, refused = 0, slow = 0, unwritten = 0, unreadable = 0, reset = 0,
-                 timeout = 0, moot = 0, withdrawn = 0;
-        Micros slowest{};  // longest time that establishing a connection took
+    struct Stats {
+        unsigned attempts = 0, established = 0, connect_errors = 0, connect_timeouts = 0,
+                 broken_before_send = 0, malformed = 0, reset = 0, timeout = 0, not_sent = 0, withdrawn = 0;
+        Micros slowest_connect{};  // longest time that establishing a connection took
     };
 
-    void report(AttemptKey attempt, UpstreamId upstream, Outcome outcome, Time sent_at,
-                HttpResponse answer = {}, bool doubtful = false);
+    void report(AttemptKey attempt, UpstreamId upstream, Outcome outcome, Time started_at,
+                HttpResponse response = {}, bool possible_duplicate = false);
 
     boost::asio::io_context& loop_;
     const Clock& clock_;
@@ -117,8 +117,8 @@
     ConnectionPool pool_;
     std::map<AttemptKey, ConnectionPtr> attempts_;
     int probes_ = 0;
-    Figures figures_;
-    RefusalTally refusals_;
+    Stats stats_;
+    RejectionStats rejections_;
 };
 
 // Returns the values in the order of `fields`; empty if the text lacks one of them or holds a value that is
--- a/tests/connection_rest_test.cpp
+++ b/tests/connection_rest_test.cpp
@@ -60,7 +60,7 @@
         attempts.push_back(std::move(result));
         if (on_attempt) on_attempt();
     }
-    void on_connection(net::AttemptKey) override {}
+    void on_connected(net::AttemptKey) override {}
     void on_probe_result(ProbeResult result) override { probes.push_back(std::move(result)); }
 
     std::size_t count() const { return attempts.size() + probes.size(); }
@@ -156,7 +156,7 @@
         say_first(answer);
         if (held_up > Micros{0}) hold_up_loop(held_up);
         stage.until([&] { return results.count() == used.size(); });
-        ASSERT_EQ(upstreams.idle(upstream), used.size());
+        ASSERT_EQ(upstreams.idle_count(upstream), used.size());
     }
 
     // Like answer_all(), but each connection only after the previous one has become idle.
@@ -164,7 +164,7 @@
         for (const auto& wire : used) {
             say_first_on(*wire, answer);
             stage.until([&] { return results.count() == round.answered_at.size(); });
-            ASSERT_EQ(upstreams.idle(upstream), round.answered_at.size());
+            ASSERT_EQ(upstreams.idle_count(upstream), round.answered_at.size());
         }
     }
 
@@ -221,9 +221,9 @@
             const net::AttemptResult* result = results.of(one.request);
             ASSERT_TRUE(result);
             one.outcome = result->outcome;
-            one.body = result->answer.body();
+            one.body = result->response.body();
         }
-        round.figures = upstreams.figures();
+        round.figures = upstreams.take_summary();
     }
 
     void wait_until(Time at) {
@@ -262,7 +262,7 @@
         direct.say_on_used(exchange.ahead);
         direct.wait_until(direct.clock.now() + rest);
         ASSERT_EQ(direct.results.count(), 0U);
-        ASSERT_EQ(direct.upstreams.idle(upstream), 0U);
+        ASSERT_EQ(direct.upstreams.idle_count(upstream), 0U);
     }
     ASSERT_NO_FATAL_FAILURE(direct.answer_all(exchange.first, exchange.held_up));
     if (exchange.next_after > Micros{0}) direct.wait_until(direct.round.begin() + exchange.next_after);
@@ -270,7 +270,7 @@
     for (std::size_t i = 0; i < exchange.next; ++i) ASSERT_NO_FATAL_FAILURE(direct.see_next());
     direct.wait_until(direct.round.begin() + exchange.second_after);
     direct.say_second(exchange.second);
-    direct.stage.until([&] { return direct.upstreams.idle(upstream) == 0; });
+    direct.stage.until([&] { return direct.upstreams.idle_count(upstream) == 0; });
     ASSERT_NO_FATAL_FAILURE(direct.answer_next());
     round = direct.round;
 }
@@ -377,7 +377,7 @@
     ASSERT_NO_FATAL_FAILURE(direct.open(GetParam(), Carried::probes));
     direct.say_first(ok(first_body));
     direct.stage.until([&] { return direct.results.probes.size() == GetParam(); });
-    EXPECT_EQ(direct.upstreams.idle(upstream), 0U);
+    EXPECT_EQ(direct.upstreams.idle_count(upstream), 0U);
     direct.hand_over_next();
     ASSERT_NO_FATAL_FAILURE(direct.see_next());
     EXPECT_FALSE(direct.round.next.front().used);
@@ -430,7 +430,7 @@
         direct.hand_over_next();
         EXPECT_FALSE(direct.results.of(next_request)) << "given up at once";
         ASSERT_NO_FATAL_FAILURE(direct.see_next());
-        EXPECT_EQ(direct.upstreams.idle(upstream), cap - 1);
+        EXPECT_EQ(direct.upstreams.idle_count(upstream), cap - 1);
         ASSERT_NO_FATAL_FAILURE(direct.answer_next());
         round = direct.round;
         if (!round.met_all_resting() || round.next.front().used) return;
@@ -472,7 +472,7 @@
     ASSERT_NO_FATAL_FAILURE(direct.open(GetParam()));
     ASSERT_NO_FATAL_FAILURE(direct.answer_all(ok(first_body)));
     direct.wait_until(direct.clock.now() + rest);
-    ASSERT_EQ(direct.upstreams.idle(upstream), GetParam());
+    ASSERT_EQ(direct.upstreams.idle_count(upstream), GetParam());
     direct.say_second(ok(second_body));
     for (const auto& wire : direct.used) ASSERT_NO_FATAL_FAILURE(wait_until_delivered(*wire));
     direct.hand_over_next();
--- a/tests/crossed_answers_test.cpp
+++ b/tests/crossed_answers_test.cpp
@@ -30,7 +30,7 @@
     std::vector<ProbeResult> probes;
 
     void on_attempt_result(net::AttemptResult result) override { attempts.push_back(std::move(result)); }
-    void on_connection(net::AttemptKey) override {}
+    void on_connected(net::AttemptKey) override {}
     void on_probe_result(ProbeResult result) override { probes.push_back(std::move(result)); }
     std::size_t count() const { return attempts.size() + probes.size(); }
 };
@@ -74,7 +74,7 @@
             EXPECT_EQ(results.probes.back().report, net::parse_report(body, report_fields));
         } else {
             EXPECT_EQ(results.attempts.back().outcome, Outcome::ok);
-            EXPECT_EQ(results.attempts.back().answer.body(), body);
+            EXPECT_EQ(results.attempts.back().response.body(), body);
         }
     }
 
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -171,7 +171,7 @@
 struct Outcomes : net::UpstreamEvents {
     std::vector<Outcome> all;
     void on_attempt_result(net::AttemptResult result) override { all.push_back(result.outcome); }
-    void on_connection(net::AttemptKey) override {}
+    void on_connected(net::AttemptKey) override {}
     void on_probe_result(ProbeResult) override {}
 };
 
@@ -181,7 +181,7 @@
     Outcomes outcomes;
     const net::Clock clock;
     net::UpstreamLimits limits{std::chrono::seconds(5), {}, 8};
-    limits.single_use = std::chrono::milliseconds(300);
+    limits.single_use_period = std::chrono::milliseconds(300);
     net::Upstreams upstreams(s.loop, clock, limits, {}, outcomes);
     upstreams.set_address(1, s.upstreams[0]->address());
     int sent = 0;
@@ -194,12 +194,12 @@
         EXPECT_EQ(outcomes.all.back(), Outcome::ok);
     };
     exchange(ok() + ok());
-    const Time over = clock.now() + limits.single_use;
+    const Time over = clock.now() + limits.single_use_period;
     exchange(ok());
-    EXPECT_EQ(upstreams.idle(1), 0U);
+    EXPECT_EQ(upstreams.idle_count(1), 0U);
     s.until([&] { return clock.now() >= over; });
     exchange(ok());
-    EXPECT_EQ(upstreams.idle(1), 1U);
+    EXPECT_EQ(upstreams.idle_count(1), 1U);
 }
 
 // A second answer may be a refusal, and come at any time: on a connection that has carried others before, a
@@ -350,8 +350,8 @@
         net::Upstreams* upstreams = nullptr;
         std::optional<Outcome> outcome;
         void on_attempt_result(net::AttemptResult result) override { outcome = result.outcome; }
-        void on_connection(net::AttemptKey) override {
-            upstreams->withdraw([](net::AttemptKey, UpstreamId) { return true; });
+        void on_connected(net::AttemptKey) override {
+            upstreams->withdraw_unsent([](net::AttemptKey, UpstreamId) { return true; });
         }
         void on_probe_result(ProbeResult) override {}
     };
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -208,7 +208,7 @@
     struct Sink : net::UpstreamEvents {
         std::optional<Outcome> outcome;
         void on_attempt_result(net::AttemptResult result) override { outcome = result.outcome; }
-        void on_connection(net::AttemptKey) override {}
+        void on_connected(net::AttemptKey) override {}
         void on_probe_result(ProbeResult) override {}
     };
     Stage s(1);
--- a/tests/refusal_tally_test.cpp
+++ b/tests/refusal_tally_test.cpp
@@ -10,28 +10,28 @@
 
 using std::chrono::milliseconds;
 
-TEST(RefusalTally, SaysNothingWhereThereWereNone) { EXPECT_EQ(RefusalTally().take_text(), ""); }
+TEST(RejectionStats, IsEmptyWithoutRejections) { EXPECT_EQ(RejectionStats().take_summary(), ""); }
 
-TEST(RefusalTally, TellsOneUpstreamFromManyAndHowLittleTimeWasLeft) {
-    RefusalTally tally;
-    for (int i = 0; i < 3; ++i) tally.count(0xab, milliseconds(400));
-    tally.count(0xcd, milliseconds(12));
-    EXPECT_EQ(tally.take_text(), "rejected 4 (by 2 upstreams, most 3 by ab, least time left 12 ms)");
+TEST(RejectionStats, CountsUpstreamsAndTellsTheLeastTimeLeft) {
+    RejectionStats stats;
+    for (int i = 0; i < 3; ++i) stats.record(0xab, milliseconds(400));
+    stats.record(0xcd, milliseconds(12));
+    EXPECT_EQ(stats.take_summary(), "rejected 4 (by 2 upstreams, most 3 by ab, least time left 12 ms)");
 }
 
-TEST(RefusalTally, BeginsAnewOnceItWasTaken) {
-    RefusalTally tally;
-    tally.count(1, milliseconds(5));
-    tally.take_text();
-    EXPECT_EQ(tally.take_text(), "");
-    tally.count(2, milliseconds(9));
-    EXPECT_EQ(tally.take_text(), "rejected 1 (by 1 upstreams, most 1 by 2, least time left 9 ms)");
+TEST(RejectionStats, IsResetByTakeSummary) {
+    RejectionStats stats;
+    stats.record(1, milliseconds(5));
+    stats.take_summary();
+    EXPECT_EQ(stats.take_summary(), "");
+    stats.record(2, milliseconds(9));
+    EXPECT_EQ(stats.take_summary(), "rejected 1 (by 1 upstreams, most 1 by 2, least time left 9 ms)");
 }
 
-TEST(RefusalTally, NamesTheSameUpstreamWhereSeveralHaveTheMost) {
-    RefusalTally tally;
-    for (const UpstreamId upstream : {7, 9, 8}) tally.count(upstream, milliseconds(1));
-    EXPECT_EQ(tally.take_text(), "rejected 3 (by 3 upstreams, most 1 by 9, least time left 1 ms)");
+TEST(RejectionStats, BreaksTiesByUpstreamId) {
+    RejectionStats stats;
+    for (const UpstreamId upstream : {7, 9, 8}) stats.record(upstream, milliseconds(1));
+    EXPECT_EQ(stats.take_summary(), "rejected 3 (by 3 upstreams, most 1 by 9, least time left 1 ms)");
 }
 
 }  // namespace
--- a/tests/standing_terms_test.cpp
+++ b/tests/standing_terms_test.cpp
@@ -43,7 +43,7 @@
     std::optional<Outcome> outcome;
     std::function<void()> as_it_comes_up = [] {};
     void on_attempt_result(net::AttemptResult result) override { outcome = result.outcome; }
-    void on_connection(net::AttemptKey) override { as_it_comes_up(); }
+    void on_connected(net::AttemptKey) override { as_it_comes_up(); }
     void on_probe_result(ProbeResult) override {}
 };
 
