--- a/src/net/refusal_tally.h
+++ b/src/net/refusal_tally.h
@@ -1,7 +1,7 @@
-// What the log says of attempts that upstreams turned away as full: how many, at how many upstreams, the one
-// with the most, and how little time the most pressed one had left. Refusals at one upstream tell of one that
-// drains or is slow, refusals at many of an overload, refusals with little time left of requests that come
-// too late.
+// Log summary of attempts that upstreams rejected as overloaded: how many, by how many upstreams, the
+// upstream with the most, and the least time that one of the requests had left. Rejections by one upstream
+// indicate that it drains or is slow, rejections by many an overload, and rejections with little time left
+// requests that arrive too late.
 #pragma once
 
 #include <chrono>
@@ -12,18 +12,19 @@
 
 namespace flaxdoor::net {
 
-class RefusalTally {
+// Counts rejections by upstream.
+class RejectionStats {
 public:
-    // `left`: the time that the request had left as the refusal came.
-    void count(UpstreamId upstream, Micros left);
+    // `time_left`: time until the attempt's deadline when the rejection arrived.
+    void record(UpstreamId upstream, Micros time_left);
 
-    // As in "turned away as full 9 (at 2 upstreams, 7 at 5be2a07c, least left 12 ms)"; empty when there were
-    // none. Begins anew.
-    std::string take_text();
+    // Returns a text like "rejected 9 (by 2 upstreams, most 7 by 5be2a07c, least time left 12 ms)", empty if
+    // there were no rejections, and resets the counters.
+    std::string take_summary();
 
 private:
-    std::unordered_map<UpstreamId, unsigned> by_upstream_;
-    Micros least_left_ = Micros::max();
+    std::unordered_map<UpstreamId, unsigned> counts_;
+    Micros min_time_left_ = Micros::max();
 };
 
 }  // namespace flaxdoor::net
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -172,7 +172,7 @@
 struct OutcomeRecorder : net::UpstreamEvents {
     std::vector<Outcome> all;
     void on_attempt_result(net::AttemptResult result) override { all.push_back(result.outcome); }
-    void on_connection(net::AttemptKey) override {}
+    void on_connected(net::AttemptKey) override {}
     void on_probe_result(ProbeResult) override {}
 };
 
@@ -183,7 +183,7 @@
     OutcomeRecorder outcomes;
     const net::Clock clock;
     net::UpstreamLimits limits{std::chrono::seconds(5), {}, 8};
-    limits.single_use = std::chrono::milliseconds(300);
+    limits.single_use_period = std::chrono::milliseconds(300);
     net::Upstreams upstreams(s.loop, clock, limits, {}, outcomes);
     upstreams.set_address(1, s.upstreams[0]->address());
     int sent = 0;
@@ -196,12 +196,12 @@
         EXPECT_EQ(outcomes.all.back(), Outcome::ok);
     };
     exchange(ok() + ok());
-    const Time over = clock.now() + limits.single_use;
+    const Time over = clock.now() + limits.single_use_period;
     exchange(ok());
-    EXPECT_EQ(upstreams.idle(1), 0U);
+    EXPECT_EQ(upstreams.idle_count(1), 0U);
     s.until([&] { return clock.now() >= over; });
     exchange(ok());
-    EXPECT_EQ(upstreams.idle(1), 1U);
+    EXPECT_EQ(upstreams.idle_count(1), 1U);
 }
 
 // A duplicate response may be a rejection and come at any time: on a reused connection, a rejection doesn't
@@ -354,8 +354,8 @@
         net::Upstreams* upstreams = nullptr;
         std::optional<Outcome> outcome;
         void on_attempt_result(net::AttemptResult result) override { outcome = result.outcome; }
-        void on_connection(net::AttemptKey) override {
-            upstreams->withdraw([](net::AttemptKey, UpstreamId) { return true; });
+        void on_connected(net::AttemptKey) override {
+            upstreams->withdraw_unsent([](net::AttemptKey, UpstreamId) { return true; });
         }
         void on_probe_result(ProbeResult) override {}
     };
--- a/tests/standing_terms_test.cpp
+++ b/tests/standing_terms_test.cpp
@@ -38,12 +38,12 @@
 
 // ------------------------------------------------------------- upstreams that fail around accepting
 
-// Records the outcome of one attempt and calls `on_connected` when its connection is established.
+// Records the outcome of one attempt and calls `when_connected` when its connection is established.
 struct SingleOutcomeRecorder : net::UpstreamEvents {
     std::optional<Outcome> outcome;
-    std::function<void()> on_connected = [] {};
+    std::function<void()> when_connected = [] {};
     void on_attempt_result(net::AttemptResult result) override { outcome = result.outcome; }
-    void on_connection(net::AttemptKey) override { on_connected(); }
+    void on_connected(net::AttemptKey) override { when_connected(); }
     void on_probe_result(ProbeResult) override {}
 };
 
@@ -58,7 +58,7 @@
     Stage s(0);
     tcp::acceptor acceptor(s.loop, loopback());
     SingleOutcomeRecorder sink;
-    sink.on_connected = [&] {
+    sink.when_connected = [&] {
         tcp::socket peer = acceptor.accept();
         peer.set_option(asio::socket_base::linger(true, 0));
         peer.close();
