--- a/src/net/discovery_list.cpp
+++ b/src/net/discovery_list.cpp
@@ -23,9 +23,9 @@
     return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
 }
 
-// Zones have to be distinguished by name because keyed requests may be repeated only within one. A zone that
-// the settings don't name gets a number from the hash of its name, beyond the named ones; its value has no
-// meaning. Where discovery names no zones, all upstreams are in zone 0, the balancer's own.
+// Zones have to be distinguished by name because deduplicated requests may be repeated only within one. A
+// zone that the settings don't name gets a number from the hash of its name, beyond the named ones; its value
+// has no meaning. Where discovery names no zones, all upstreams are in zone 0, the balancer's own.
 int zone_index(const std::vector<std::string>& names, const std::string& name) {
     const int index = index_of(names, name);
     if (name.empty() || index < static_cast<int>(names.size())) return name.empty() ? 0 : index;
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -400,11 +400,11 @@
 // ----------------------------------------------------------------------------------------------- retries
 //
 // request that may have been executed  | event during its retry
-// keyed                                | its window ends while a connection is being established:
-//                                      | KeyedRetry.IsNotSentAfterItsWindow
+// deduplicated                         | its window ends while a connection is being established:
+//                                      | DeduplicatedRetry.IsNotSentAfterItsWindow
 
 // The connection for the retry is established after the group has forgotten the first attempt.
-TEST(KeyedRetry, IsNotSentAfterItsWindow) {
+TEST(DeduplicatedRetry, IsNotSentAfterItsWindow) {
     const std::chrono::milliseconds window(600);
     Stage s;
     allow_slow_connections(s);
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -92,9 +92,9 @@
         const auto calls = [&] { return received_calls(s.discovery); };
         s.until([&] { return received_request(s.discovery, 1); });
         if (responded) calls()[0]->say(watch_response_head + chunk(s.list(9, false).dump() + "\n"));
-        asio::steady_timer notified(s.loop, std::chrono::seconds(6));
+        asio::steady_timer notified_deadline(s.loop, std::chrono::seconds(6));
         bool late = false;
-        notified.async_wait([&](auto) { late = true; });
+        notified_deadline.async_wait([&](auto) { late = true; });
         s.until([&] { return late || (calls().size() >= 2 && has(calls()[1]->in, "\r\n\r\n")); });
         EXPECT_FALSE(late) << mode << responded;
         EXPECT_TRUE(calls()[0]->ended) << mode << responded;
@@ -150,9 +150,9 @@
         }
     }
     s.until([&] { return called(4); });  // gets no response
-    asio::steady_timer notified(s.loop, std::chrono::seconds(6));
+    asio::steady_timer notified_deadline(s.loop, std::chrono::seconds(6));
     bool late = false;
-    notified.async_wait([&](auto) { late = true; });
+    notified_deadline.async_wait([&](auto) { late = true; });
     s.until([&] { return late || called(5); });
     EXPECT_FALSE(late);
 }
@@ -298,7 +298,7 @@
 TEST(DiscoveryClient, ReportsClosedOnlyForAWatchClosedInOrder) {
     struct End {
         std::string name;
-        std::string said;
+        std::string sent;
         bool reset;
         net::ListFailure reported;
     };
@@ -306,15 +306,15 @@
     for (const End& each : {End{"closed", empty_line, false, net::ListFailure::closed},
                             End{"finished", empty_line + "0\r\n\r\n", false, net::ListFailure::closed},
                             End{"reset", empty_line, true, net::ListFailure::failed},
-                            End{"unanswered", "", false, net::ListFailure::failed}}) {
+                            End{"no response", "", false, net::ListFailure::failed}}) {
         Stage s;
         DiscoveryEventRecorder reports;
         net::Discovery client(s.loop, s.discovery.address(), {}, reports);
         client.watch();
         s.until([&] { return received_request(s.discovery, 1); });
         const auto wire = s.discovery.wires[0];
-        if (!each.said.empty()) {
-            wire->say(each.said);
+        if (!each.sent.empty()) {
+            wire->say(each.sent);
             s.until([&] { return !reports.lists.empty(); });
         }
         each.reset ? wire->reset() : wire->close();
@@ -324,7 +324,7 @@
 }
 
 // Guards against abandoning a call that is queued at discovery for longer than 3 s, and each call after it.
-// That happens when the silence limit of an open watch also applies to the wait for the first byte, which the
+// That happens when the idle timeout of an open watch also applies to the wait for the first byte, which the
 // protocol does not limit.
 TEST(DiscoveryClient, WaitsLongerForAFirstResponseThanForAnOpenWatch) {
     Stage s;
@@ -340,7 +340,7 @@
 }
 
 // The caller has to start new calls. A change to the same address leaves the open calls untouched.
-TEST(DiscoveryClient, AChangeOfAddressDropsOpenCalls) {
+TEST(DiscoveryClient, AChangeOfAddressCancelsOpenCalls) {
     Stage s;
     DiscoveryEventRecorder reports;
     net::Discovery client(s.loop, s.discovery.address(), {}, reports);
--- a/tests/discovery_wait_test.cpp
+++ b/tests/discovery_wait_test.cpp
@@ -349,8 +349,8 @@
     std::array<char, 1> byte_{};
 };
 
-// The loop is blocked from `during_check` on. In this time the system retransmits the lost SYN of the check,
-// which it does a second after the first one.
+// Time from `during_check`, when the loop is blocked, until the system has retransmitted the lost SYN of the
+// check, which it does 1 s after the first one.
 constexpr milliseconds until_syn_retransmit =
     check_interval + milliseconds(1000) - during_check + milliseconds(300);
 constexpr milliseconds blocked_for(1950);
--- a/tests/standing_terms_test.cpp
+++ b/tests/standing_terms_test.cpp
@@ -303,7 +303,7 @@
 
 // Sends requests of every class with different budgets at once, none of which can be served, and expects an
 // error response to each within its budget.
-void expect_answers_in_time(Stage& s, const std::string& why) {
+void expect_responses_in_time(Stage& s, const std::string& why) {
     std::vector<PendingRequest> all;
     for (const int budget : {60, 150, 400, 900}) {
         for (const auto& request : {look(budget), once(budget), book(budget)}) {
@@ -312,30 +312,31 @@
         }
     }
     s.until([&] {
-        for (auto& w : all) {
-            if (!w.answered && (w.client->ended || has(w.client->in, "\r\n\r\n")))
-                w.answered = SteadyClock::now();
+        for (auto& pending : all) {
+            if (!pending.answered && (pending.client->ended || has(pending.client->in, "\r\n\r\n")))
+                pending.answered = SteadyClock::now();
         }
         return std::all_of(all.begin(), all.end(),
-                           [](const PendingRequest& w) { return w.answered.has_value(); });
+                           [](const PendingRequest& pending) { return pending.answered.has_value(); });
     });
-    for (const auto& w : all) {
-        EXPECT_GE(status(w.client->in), 500) << why << ": " << w.what;
-        ASSERT_TRUE(w.answered) << why << ": " << w.what;
-        EXPECT_LE(*w.answered - w.sent, w.budget + socket_tolerance) << why << ": " << w.what;
+    for (const auto& pending : all) {
+        EXPECT_GE(status(pending.client->in), 500) << why << ": " << pending.what;
+        ASSERT_TRUE(pending.answered) << why << ": " << pending.what;
+        EXPECT_LE(*pending.answered - pending.sent, pending.budget + socket_tolerance)
+            << why << ": " << pending.what;
     }
 }
 
 TEST(DeadlineExceeded, WhenUpstreamsHang) {
     Stage s;
     s.start();
-    expect_answers_in_time(s, "upstreams hang");
+    expect_responses_in_time(s, "upstreams hang");
 }
 
 TEST(DeadlineExceeded, WhenThereAreNoUpstreams) {
     Stage s(0);
     s.start();
-    expect_answers_in_time(s, "no upstreams");
+    expect_responses_in_time(s, "no upstreams");
 }
 
 TEST(DeadlineExceeded, WhenConnectionsAreNotEstablished) {
@@ -344,7 +345,7 @@
         s.config["settings"]["limits"]["connect_timeout"] = connect_timeout;
         Slow slow(s);
         s.start();
-        expect_answers_in_time(s, "connections are not established");
+        expect_responses_in_time(s, "connections are not established");
         s.host.reset();
     }
 }
@@ -353,7 +354,7 @@
     Stage s;
     for (const auto& upstream : s.upstreams) upstream->close();
     s.start();
-    expect_answers_in_time(s, "connections are refused");
+    expect_responses_in_time(s, "connections are refused");
 }
 
 // ------------------------------------------------------------------- the time budget that is forwarded
@@ -392,7 +393,7 @@
     constexpr milliseconds budget(5000), connect_delay(600), tolerance(150);
     Stage s;
     allow_slow_connections(s);
-    s.config["settings"]["limits"]["max_attempts"] = 2;  // so the last may use all remaining time
+    s.config["settings"]["limits"]["max_attempts"] = 2;  // so that the last may use all of the time
     Slow slow(s);
     s.start();
     std::shared_ptr<Wire> client;
@@ -476,8 +477,8 @@
 };
 
 // Runs a policy against upstreams that first serve all attempts, then end each attempt and probe with the
-// outcome of `failure_period` for its duration, then serve again. Returns the pauses between
-// attempts.
+// outcome of `failure_period` for its duration, then serve again. Returns the pauses
+// between attempts.
 Pauses measure_pauses(const Settings& settings, Load load, FailurePeriod failure_period,
                       std::uint64_t seed = 1) {
     struct PendingAttempt {
