--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -46,7 +46,7 @@
                 wire->say(watch_head);
             }
             wire->say(chunk(s.list(10, whole).dump() + "\n"));
-            settle(s);
+            process_pending_events(s);
             expect_none_to_first(s);
             s.host.reset();
         }
@@ -63,7 +63,7 @@
         s.start();
         s.until([&] { return asked(s.discovery, 1); });
         s.discovery.wires[0]->say(watch_head + chunk("\n"));
-        settle(s);
+        process_pending_events(s);
         asio::steady_timer grace(s.loop, std::chrono::milliseconds(400));
         bool over = false;
         if (reset) {
@@ -101,7 +101,7 @@
     client->say(look(5000, "second"));
     const auto next = s.request().first;
     wire->say(ok("to the first, again"));
-    settle(s);
+    process_pending_events(s);
     next->say(ok("to the second"));
     EXPECT_TRUE(has(s.answer(*client), "to the second"));
 }
@@ -210,7 +210,7 @@
     const auto kept = one_on_a_kept_connection(s, once());
     ASSERT_TRUE(kept) << "no connection was used twice";
     const auto& [client, wire] = *kept;
-    wire->say(turned_away);
+    wire->say(rejection_response);
     EXPECT_EQ(status(s.answer(*client)), 502);
     EXPECT_TRUE(s.nothing_sent());
 }
@@ -222,7 +222,7 @@
     const auto kept = one_on_a_kept_connection(s, look());
     ASSERT_TRUE(kept) << "no connection was used twice";
     const auto& [client, wire] = *kept;
-    wire->say(turned_away);
+    wire->say(rejection_response);
     s.request().first->say(ok());
     EXPECT_EQ(status(s.answer(*client)), 200);
 }
@@ -233,7 +233,7 @@
     s.start();
     const auto client = s.client();
     client->say(once());
-    s.request().first->say(turned_away);
+    s.request().first->say(rejection_response);
     s.request().first->say(ok());
     EXPECT_EQ(status(s.answer(*client)), 200);
 }
@@ -244,7 +244,7 @@
     s.start();
     const auto client = s.client();
     client->say(once());
-    s.request().first->say(turned_away + ok());
+    s.request().first->say(rejection_response + ok());
     EXPECT_EQ(status(s.answer(*client)), 502);
     EXPECT_TRUE(s.nothing_sent());
 }
@@ -278,9 +278,9 @@
         const auto client = s.client(), other = s.client();
         client->say(look(5000, "leaves"));
         s.request().first->reset();
-        settle(s);
+        process_pending_events(s);
         client->say(std::string(behind, 'x'));
-        settle(s);
+        process_pending_events(s);
         client->close();
         other->say(look(5000, "stays"));
         s.request().first->reset();
@@ -301,10 +301,10 @@
         const auto client = s.client();
         client->say(look());
         const auto wire = s.request().first;
-        wire->say(turned_away);
+        wire->say(rejection_response);
         client->say(std::string(behind, 'x'));
         client->close();
-        settle(s);
+        process_pending_events(s);
         EXPECT_TRUE(s.nothing_sent()) << behind;
         EXPECT_EQ(s.connections(), 1U) << behind;
         s.host.reset();
@@ -316,7 +316,7 @@
     for (;;) {
         const auto client = s.client();
         client->say(look());
-        settle(s);
+        process_pending_events(s);
         std::shared_ptr<Wire> served;
         for (const auto& wire : s.upstreams[1]->wires) {
             if (!wire->take().empty()) served = wire;
@@ -330,15 +330,15 @@
 TEST(HandOver, NothingIsSentOnOverAConnectionThatComesUp) {
     for (const bool may_cancel : {true, false}) {
         Stage s;
-        allow_slow_connections(s);
+        extend_time_limits(s);
         s.config["settings"]["limits"]["cancel"] = may_cancel;
-        Slow slow(s);
+        DelayedAcceptUpstream slow(s);
         s.start();
         const auto client = one_that_waits(s);
         client->close();
-        settle(s);
-        slow.let(s);
-        for (const auto& wire : slow.wires) EXPECT_FALSE(has(wire->in, "GET")) << may_cancel;
+        process_pending_events(s);
+        slow.accept_all(s);
+        for (const auto& wire : slow.connections) EXPECT_FALSE(has(wire->in, "GET")) << may_cancel;
         s.host.reset();
     }
 }
@@ -373,8 +373,8 @@
 TEST(HandOver, AnUpstreamThatIsTakenAwayGetsNoRequestOverAConnectionThatComesUp) {
     for (const std::string how : {"leaving", "left", "not named"}) {
         Stage s;
-        allow_slow_connections(s);
-        Slow slow(s);
+        extend_time_limits(s);
+        DelayedAcceptUpstream slow(s);
         s.start();
         const auto client = one_that_waits(s);
         json news = s.list(9, how == "not named");
@@ -383,9 +383,9 @@
             how == "not named" ? news["hosts"][0]["dial"] : s.config["known"]["hosts"][0]["dial"];
         s.until([&] { return asked(s.discovery, 1); });
         s.discovery.wires[0]->say(watch_head + chunk(news.dump() + "\n"));
-        settle(s);
-        slow.let(s);
-        for (const auto& wire : slow.wires) EXPECT_FALSE(has(wire->in, "GET")) << how;
+        process_pending_events(s);
+        slow.accept_all(s);
+        for (const auto& wire : slow.connections) EXPECT_FALSE(has(wire->in, "GET")) << how;
         s.request().first->say(ok("from the other"));
         EXPECT_TRUE(has(s.answer(*client), "from the other")) << how;
         s.host.reset();
@@ -402,17 +402,17 @@
 TEST(Repeats, AKeyedOneStaysWithinItsWindow) {
     const std::chrono::milliseconds window(600);
     Stage s;
-    allow_slow_connections(s);
+    extend_time_limits(s);
     s.config["settings"]["services"][1]["aim"] = 200.0;
     s.config["settings"]["services"][1]["window"] = 600.0;
     s.config["settings"]["limits"]["max_attempts"] = 2;  // so that the repeat waits without a time-out
-    Slow slow(s);
+    DelayedAcceptUpstream slow(s);
     s.start();
     std::shared_ptr<Wire> client, first;
     while (!first) {  // until one goes to the other upstream first
         client = s.client();
         client->say(book());
-        settle(s);
+        process_pending_events(s);
         for (const auto& wire : s.upstreams[1]->wires) {
             if (!wire->take().empty()) first = wire;
         }
@@ -423,8 +423,8 @@
     forgets.async_wait([&](auto) { forgotten = true; });
     first->reset();
     s.until([&] { return forgotten; });
-    slow.let(s);
-    for (const auto& wire : slow.wires) EXPECT_FALSE(has(wire->in, "POST"));
+    slow.accept_all(s);
+    for (const auto& wire : slow.connections) EXPECT_FALSE(has(wire->in, "POST"));
     EXPECT_EQ(status(s.answer(*client)), 502);
 }
 
@@ -511,7 +511,7 @@
     shortly.async_wait([&](auto) { fresh = s.client(); });
     s.host->drain();
     s.until([&] { return fresh && idle->ended; });
-    settle(s);
+    process_pending_events(s);
     EXPECT_FALSE(fresh->ended);
     fresh->say(look());
     s.request().first->say(ok());
@@ -527,7 +527,7 @@
     const auto client = s.client();
     client->say(look());
     s.request().first->reset();  // its gap is waited out
-    settle(s);
+    process_pending_events(s);
     s.host->drain();
     s.host->drain();  // SIGTERM may come twice
     s.request().first->say(ok());
@@ -548,7 +548,7 @@
     asio::write(slow, asio::buffer(look()));
     const std::string body(60000, 'x');
     s.request().first->say(ok(body));
-    settle(s);
+    process_pending_events(s);
     s.host->drain();
     const auto client = std::make_shared<Wire>(std::move(slow));
     client->start();
--- a/tests/message_forms_test.cpp
+++ b/tests/message_forms_test.cpp
@@ -91,7 +91,7 @@
             wire->say(ok());
             s.until([&] { return has(client->in, "served"); });
             EXPECT_TRUE(has(client->in, "HTTP/1.1 200 OK\r\n")) << form.what;
-            settle(s);
+            process_pending_events(s);
             EXPECT_TRUE(s.nothing_sent()) << form.what;
             EXPECT_EQ(s.connections(), 1U) << form.what;
             client->in.clear();
@@ -169,7 +169,7 @@
         wire->reset();
         if (!unsafe) s.request().first->say(ok());
         EXPECT_EQ(status(s.answer(*client)), unsafe ? 502 : 200);
-        settle(s);
+        process_pending_events(s);
         EXPECT_TRUE(s.nothing_sent());
         s.host.reset();
     }
--- a/tests/rubbish_test.cpp
+++ b/tests/rubbish_test.cpp
@@ -73,7 +73,7 @@
         EXPECT_TRUE(refused_or_closed(*peers[i])) << rubbish()[i];
         EXPECT_FALSE(has(peers[i]->in, "HTTP/1.1 200")) << rubbish()[i];
     }
-    settle(s);
+    process_pending_events(s);
     for (const auto& upstream : s.upstreams) {
         for (const auto& wire : upstream->wires) ADD_FAILURE() << "reached an upstream: " << wire->in;
     }
@@ -87,7 +87,7 @@
     client->say(
         "POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Call-Class: once\r\nX-Budget-Ms: 5000\r\n"
         "Transfer-Encoding: gzip\r\nContent-Length: 4\r\n\r\nbody");
-    settle(s);
+    process_pending_events(s);
     for (const auto& upstream : s.upstreams) {
         for (const auto& wire : upstream->wires) ADD_FAILURE() << "reached an upstream: " << wire->in;
     }
--- a/tests/second_answer_load_test.cpp
+++ b/tests/second_answer_load_test.cpp
@@ -28,25 +28,25 @@
 // A connection carries no further request within this time after its last response, and a response written
 // within this time after the previous one reaches no other request. Both hold at the upstream, because the
 // balancer counts from when it has read a response, which is later than when it was written.
-constexpr Micros rest_least = milliseconds(10);
-constexpr Micros clock_step{1};  // the balancer's clock has microsecond resolution
+constexpr Micros min_reuse_delay = milliseconds(10);
+constexpr Micros clock_resolution{1};  // the balancer's clock has microsecond resolution
 
 // Bounds of what is drawn for a request.
-constexpr Micros pause_most = milliseconds(3);  // of its client, before the request
-constexpr Micros service_most = milliseconds(3);
-constexpr Micros second_delay_most = milliseconds(8);
-constexpr double second_answer_chance = 0.1;
+constexpr Micros max_pause = milliseconds(3);  // of its client, before the request
+constexpr Micros max_service_time = milliseconds(3);
+constexpr Micros max_duplicate_delay = milliseconds(8);
+constexpr double duplicate_probability = 0.1;
 
 // An upstream sends no duplicates until this many requests have arrived on used connections: after its first
 // duplicate, the balancer may use each of its connections only once.
 constexpr std::size_t warm_up_requests = 5;
 
 // A run is repeated with new draws until its counts suffice for a verdict.
-constexpr std::size_t least_episodes = 6;
-constexpr std::size_t most_episodes = 60;
-constexpr std::size_t least_second_answers = 10;  // within the reuse delay
-constexpr std::size_t least_used_requests = 100;
-constexpr std::size_t most_upstreams = 3;
+constexpr std::size_t min_episodes = 6;
+constexpr std::size_t max_episodes = 60;
+constexpr std::size_t min_duplicates = 10;  // within the reuse delay
+constexpr std::size_t min_reusing_requests = 100;
+constexpr std::size_t max_upstreams = 3;
 
 struct Load {
     std::uint64_t seed = 0;
@@ -61,24 +61,24 @@
 
 struct Plan {
     Micros pause{};
-    Micros service{};
-    std::optional<Micros> second_after;
+    Micros service_time{};
+    std::optional<Micros> duplicate_after;
 };
 
 // Half of the drawn times are zero.
-Micros draw_up_to(Micros most, std::mt19937_64& random) {
+Micros draw_up_to(Micros bound, std::mt19937_64& random) {
     if (std::bernoulli_distribution(0.5)(random)) return {};
-    return Micros(std::uniform_int_distribution<Micros::rep>(0, most.count())(random));
+    return Micros(std::uniform_int_distribution<Micros::rep>(0, bound.count())(random));
 }
 
 Plan draw_plan(std::mt19937_64& random) {
     Plan plan;
-    plan.pause = draw_up_to(pause_most, random);
-    plan.service = draw_up_to(service_most, random);
-    const bool twice = std::bernoulli_distribution(second_answer_chance)(random);
+    plan.pause = draw_up_to(max_pause, random);
+    plan.service_time = draw_up_to(max_service_time, random);
+    const bool duplicated = std::bernoulli_distribution(duplicate_probability)(random);
     const Micros::rep delay =
-        std::uniform_int_distribution<Micros::rep>(0, second_delay_most.count())(random);
-    if (twice) plan.second_after = Micros(delay);
+        std::uniform_int_distribution<Micros::rep>(0, max_duplicate_delay.count())(random);
+    if (duplicated) plan.duplicate_after = Micros(delay);
     return plan;
 }
 
@@ -88,197 +88,203 @@
     return plans;
 }
 
-enum class Turn { first, second };
+enum class ResponseKind { first, duplicate };
 
-struct SeenRequest {
-    std::size_t call = 0;
-    std::size_t connection = 0;
+struct ReceivedRequest {
+    std::size_t call_id = 0;
+    std::size_t connection_index = 0;
     Steady::time_point at;
-    std::optional<Micros> rested;  // since the last response on its connection
+    std::optional<Micros> since_response;  // since the last response on its connection
 };
 
-struct WrittenAnswer {
-    std::size_t call = 0;
-    Turn turn = Turn::first;
-    std::size_t connection = 0;
+struct WrittenResponse {
+    std::size_t call_id = 0;
+    ResponseKind kind = ResponseKind::first;
+    std::size_t connection_index = 0;
     Steady::time_point at;
-    std::optional<Micros> behind;  // since the previous response on its connection
+    std::optional<Micros> since_previous;  // since the previous response on its connection
 };
 
-bool within_rest(const std::optional<Micros>& time) { return time && *time < rest_least - clock_step; }
+bool within_reuse_delay(const std::optional<Micros>& time) {
+    return time && *time < min_reuse_delay - clock_resolution;
+}
 
 // What the upstreams of an episode received and wrote, in order of time.
-struct Record {
-    std::vector<SeenRequest> requests;
-    std::vector<WrittenAnswer> answers;
+struct TrafficRecord {
+    std::vector<ReceivedRequest> requests;
+    std::vector<WrittenResponse> responses;
     std::size_t connections = 0;
 };
 
-struct Tally {
+struct Counts {
     std::size_t requests = 0;
-    std::size_t used_requests = 0;   // on used connections
-    std::size_t early_requests = 0;  // of these, within the reuse delay
-    std::size_t second_answers = 0;
-    std::size_t second_answers_in_rest = 0;
-    std::size_t wrong_answers = 0;       // within the reuse delay, delivered to another request
-    std::size_t late_wrong_answers = 0;  // after the reuse delay, delivered to another request
+    std::size_t reusing_requests = 0;  // on used connections
+    std::size_t early_requests = 0;    // of these, within the reuse delay
+    std::size_t duplicates = 0;
+    std::size_t duplicates_within_delay = 0;
+    std::size_t wrong_responses = 0;       // within the reuse delay, delivered to another request
+    std::size_t late_wrong_responses = 0;  // after the reuse delay, delivered to another request
     std::size_t unserved = 0;
     std::string trace;  // of the first wrong response
 
-    bool tells() const {
-        return second_answers_in_rest >= least_second_answers && used_requests >= least_used_requests;
+    bool suffices() const {
+        return duplicates_within_delay >= min_duplicates && reusing_requests >= min_reusing_requests;
     }
 };
 
-std::ostream& operator<<(std::ostream& out, const Tally& tally) {
-    out << tally.requests << " requests, " << tally.used_requests << " on used connections, "
-        << tally.early_requests << " of them within the reuse delay; " << tally.second_answers
-        << " duplicate responses, " << tally.second_answers_in_rest << " within the reuse delay; "
-        << tally.wrong_answers << " responses within the reuse delay delivered to another request, "
-        << tally.late_wrong_answers << " after it; " << tally.unserved << " not served";
-    if (!tally.trace.empty()) out << "\n" << tally.trace;
+std::ostream& operator<<(std::ostream& out, const Counts& counts) {
+    out << counts.requests << " requests, " << counts.reusing_requests << " on used connections, "
+        << counts.early_requests << " of them within the reuse delay; " << counts.duplicates
+        << " duplicate responses, " << counts.duplicates_within_delay << " within the reuse delay; "
+        << counts.wrong_responses << " responses within the reuse delay delivered to another request, "
+        << counts.late_wrong_responses << " after it; " << counts.unserved << " not served";
+    if (!counts.trace.empty()) out << "\n" << counts.trace;
     return out;
 }
 
-void count(const Record& record, Tally& tally) {
-    for (const SeenRequest& request : record.requests) {
-        ++tally.requests;
-        tally.used_requests += request.rested.has_value();
-        tally.early_requests += within_rest(request.rested);
+void add_counts(const TrafficRecord& record, Counts& counts) {
+    for (const ReceivedRequest& request : record.requests) {
+        ++counts.requests;
+        counts.reusing_requests += request.since_response.has_value();
+        counts.early_requests += within_reuse_delay(request.since_response);
     }
-    for (const WrittenAnswer& answer : record.answers) {
-        if (answer.turn == Turn::first) continue;
-        ++tally.second_answers;
-        tally.second_answers_in_rest += within_rest(answer.behind);
+    for (const WrittenResponse& response : record.responses) {
+        if (response.kind == ResponseKind::first) continue;
+        ++counts.duplicates;
+        counts.duplicates_within_delay += within_reuse_delay(response.since_previous);
     }
 }
 
 // Describes how a client was given the response to another request, with times since the previous response on
 // the connection.
-std::string trace_of(const Record& record, const WrittenAnswer& answer, std::size_t call,
-                     Steady::time_point got_at) {
-    const auto from = answer.at - answer.behind.value_or(Micros{});
+std::string trace_of(const TrafficRecord& record, const WrittenResponse& response, std::size_t call_id,
+                     Steady::time_point delivered_at) {
+    const auto from = response.at - response.since_previous.value_or(Micros{});
     const auto since = [&](Steady::time_point at) {
         return std::to_string(std::chrono::duration_cast<Micros>(at - from).count()) + " us";
     };
     std::ostringstream text;
-    text << "connection " << answer.connection << ": response written at 0 us";
-    for (const SeenRequest& request : record.requests) {
-        if (request.connection != answer.connection || request.call != call) continue;
-        text << ", request " << call << " received at " << since(request.at);
+    text << "connection " << response.connection_index << ": response written at 0 us";
+    for (const ReceivedRequest& request : record.requests) {
+        if (request.connection_index != response.connection_index || request.call_id != call_id) continue;
+        text << ", request " << call_id << " received at " << since(request.at);
     }
-    text << ", " << (answer.turn == Turn::second ? "duplicate" : "first") << " response to request "
-         << answer.call << " written at " << since(answer.at) << ", given to the client of request " << call
-         << " by " << since(got_at);
+    text << ", " << (response.kind == ResponseKind::duplicate ? "duplicate" : "first")
+         << " response to request " << response.call_id << " written at " << since(response.at)
+         << ", given to the client of request " << call_id << " by " << since(delivered_at);
     return text.str();
 }
 
-std::size_t number_behind(std::string_view text, std::string_view name) {
+std::size_t number_after(std::string_view text, std::string_view name) {
     const auto at = text.find(name);
     if (at == std::string_view::npos) throw std::runtime_error("no " + std::string(name));
     return std::stoul(std::string(text.substr(at + name.size())));
 }
 
 // One connection of an upstream, which responds to each request after its service time.
-class TwiceConnection : public std::enable_shared_from_this<TwiceConnection> {
+class DuplicatingConnection : public std::enable_shared_from_this<DuplicatingConnection> {
 public:
-    TwiceConnection(tcp::socket socket, const std::vector<Plan>& plans, Record& record,
-                    std::size_t& used_requests)
+    DuplicatingConnection(tcp::socket socket, const std::vector<Plan>& plans, TrafficRecord& record,
+                          std::size_t& reusing_requests)
         : socket_(std::move(socket)),
           plans_(plans),
           record_(record),
-          used_requests_(used_requests),
-          number_(record.connections++) {
+          reusing_requests_(reusing_requests),
+          index_(record.connections++) {
         socket_.set_option(tcp::no_delay(true));
     }
 
     void read() {
         const auto self = shared_from_this();
-        socket_.async_read_some(asio::buffer(piece_), [self](boost::system::error_code error, auto got) {
-            if (error) {
-                self->ended_ = true;
-                return;
-            }
-            self->in_.append(self->piece_, got);
-            self->take_requests();
-            self->read();
-        });
+        socket_.async_read_some(asio::buffer(read_buffer_),
+                                [self](boost::system::error_code error, auto byte_count) {
+                                    if (error) {
+                                        self->closed_ = true;
+                                        return;
+                                    }
+                                    self->received_.append(self->read_buffer_, byte_count);
+                                    self->parse_requests();
+                                    self->read();
+                                });
     }
 
 private:
     // A request counts as received once it is in the socket: a response written after that crosses it.
-    void notice_request() {
-        if (noticed_) return;
-        noticed_.emplace();
-        noticed_->connection = number_;
-        noticed_->at = Steady::now();
-        if (last_answer_at_) noticed_->rested = since_last_answer(noticed_->at);
+    void note_arrival() {
+        if (arriving_) return;
+        arriving_.emplace();
+        arriving_->connection_index = index_;
+        arriving_->at = Steady::now();
+        if (last_response_at_) arriving_->since_response = since_last_response(arriving_->at);
     }
 
-    void take_requests() {
-        notice_request();
-        for (auto end = in_.find("\r\n\r\n"); end != std::string::npos; end = in_.find("\r\n\r\n")) {
-            const std::string request = in_.substr(0, end);
-            in_.erase(0, end + 4);
-            notice_request();
-            noticed_->call = number_behind(request, "X-Call-Id: ");
-            record_.requests.push_back(*noticed_);
-            noticed_.reset();
+    void parse_requests() {
+        note_arrival();
+        for (auto end = received_.find("\r\n\r\n"); end != std::string::npos;
+             end = received_.find("\r\n\r\n")) {
+            const std::string request = received_.substr(0, end);
+            received_.erase(0, end + 4);
+            note_arrival();
+            arriving_->call_id = number_after(request, "X-Call-Id: ");
+            record_.requests.push_back(*arriving_);
+            arriving_.reset();
             serve(record_.requests.back());
         }
     }
 
-    void serve(const SeenRequest& request) {
-        used_requests_ += request.rested.has_value();
-        const Plan& plan = plans_.at(request.call);
-        const bool twice = plan.second_after && used_requests_ >= warm_up_requests;
-        after(plan.service, [this, call = request.call, twice, &plan] {
-            answer(call, Turn::first);
-            if (twice) after(*plan.second_after, [this, call] { answer(call, Turn::second); });
+    void serve(const ReceivedRequest& request) {
+        reusing_requests_ += request.since_response.has_value();
+        const Plan& plan = plans_.at(request.call_id);
+        const bool duplicated = plan.duplicate_after && reusing_requests_ >= warm_up_requests;
+        run_after(plan.service_time, [this, call_id = request.call_id, duplicated, &plan] {
+            respond(call_id, ResponseKind::first);
+            if (duplicated)
+                run_after(*plan.duplicate_after,
+                          [this, call_id] { respond(call_id, ResponseKind::duplicate); });
         });
     }
 
     template <typename Work>
-    void after(Micros time, Work work) {
+    void run_after(Micros time, Work work) {
         const auto timer = std::make_shared<asio::steady_timer>(socket_.get_executor(), time);
         timer->async_wait([self = shared_from_this(), timer, work](boost::system::error_code error) {
-            if (!error && !self->ended_) work();
+            if (!error && !self->closed_) work();
         });
     }
 
-    void answer(std::size_t call, Turn turn) {
+    void respond(std::size_t call_id, ResponseKind kind) {
         boost::system::error_code error;
-        if (socket_.available(error) > 0) notice_request();
-        const std::string body = "call=" + std::to_string(call) +
-                                 " answer=" + std::to_string(record_.answers.size()) +
-                                 (turn == Turn::first ? " first" : " second");
+        if (socket_.available(error) > 0) note_arrival();
+        const std::string body = "call=" + std::to_string(call_id) +
+                                 " answer=" + std::to_string(record_.responses.size()) +
+                                 (kind == ResponseKind::first ? " first" : " second");
         asio::write(socket_, asio::buffer(ok(body)), error);
         if (error) return;
-        WrittenAnswer written{call, turn, number_, Steady::now(), {}};
-        if (last_answer_at_) written.behind = since_last_answer(written.at);
-        record_.answers.push_back(written);
-        last_answer_at_ = written.at;
+        WrittenResponse written{call_id, kind, index_, Steady::now(), {}};
+        if (last_response_at_) written.since_previous = since_last_response(written.at);
+        record_.responses.push_back(written);
+        last_response_at_ = written.at;
     }
 
-    Micros since_last_answer(Steady::time_point now) const {
-        return std::chrono::duration_cast<Micros>(now - *last_answer_at_);
+    Micros since_last_response(Steady::time_point now) const {
+        return std::chrono::duration_cast<Micros>(now - *last_response_at_);
     }
 
     tcp::socket socket_;
     const std::vector<Plan>& plans_;
-    Record& record_;
-    std::size_t& used_requests_;  // of the whole upstream
-    const std::size_t number_;
-    std::optional<Steady::time_point> last_answer_at_;
-    std::optional<SeenRequest> noticed_;  // a request that is in the socket or partly read
-    std::string in_;
-    bool ended_ = false;
-    char piece_[4096];
+    TrafficRecord& record_;
+    std::size_t& reusing_requests_;  // of the whole upstream
+    const std::size_t index_;
+    std::optional<Steady::time_point> last_response_at_;
+    std::optional<ReceivedRequest> arriving_;  // a request that is in the socket or partly read
+    std::string received_;
+    bool closed_ = false;
+    char read_buffer_[4096];
 };
 
-class TwiceUpstream {
+class DuplicatingUpstream {
 public:
-    TwiceUpstream(asio::io_context& loop, const std::vector<Plan>& plans, Record& record)
+    DuplicatingUpstream(asio::io_context& loop, const std::vector<Plan>& plans, TrafficRecord& record)
         : acceptor_(loop, loopback()), plans_(plans), record_(record) {
         accept();
     }
@@ -289,19 +295,20 @@
     void accept() {
         acceptor_.async_accept([this](boost::system::error_code error, tcp::socket socket) {
             if (error) return;
-            std::make_shared<TwiceConnection>(std::move(socket), plans_, record_, used_requests_)->read();
+            std::make_shared<DuplicatingConnection>(std::move(socket), plans_, record_, reusing_requests_)
+                ->read();
             accept();
         });
     }
 
     tcp::acceptor acceptor_;
     const std::vector<Plan>& plans_;
-    Record& record_;
-    std::size_t used_requests_ = 0;
+    TrafficRecord& record_;
+    std::size_t reusing_requests_ = 0;
 };
 
 // The requests that have not been sent yet, shared by all clients.
-struct Queue {
+struct RequestQueue {
     std::size_t next = 0;
     std::size_t end = 0;
 };
@@ -309,31 +316,31 @@
 // Sends one request after another on its connection, each after its pause.
 class PausingClient {
 public:
-    PausingClient(Stage& stage, Queue& queue, const std::vector<Plan>& plans, const Record& record,
-                  Tally& tally)
-        : stage_(stage), queue_(queue), plans_(plans), record_(record), tally_(tally), pause_(stage.loop) {
-        next();
+    PausingClient(Stage& stage, RequestQueue& queue, const std::vector<Plan>& plans,
+                  const TrafficRecord& record, Counts& counts)
+        : stage_(stage), queue_(queue), plans_(plans), record_(record), counts_(counts), pause_(stage.loop) {
+        schedule_next();
     }
 
     // Handles what has arrived; returns true once nothing is left to do.
-    bool done() {
-        if (!call_ || pausing_) return !call_;
-        if (const std::string message = wire_->take(); !message.empty()) {
-            judge(message);
-            next();
-        } else if (wire_->ended) {
+    bool process_received() {
+        if (!call_id_ || pausing_) return !call_id_;
+        if (const std::string message = connection_->take(); !message.empty()) {
+            check_response(message);
+            schedule_next();
+        } else if (connection_->ended) {
             send();
         }
-        return !call_;
+        return !call_id_;
     }
 
 private:
-    void next() {
-        call_.reset();
+    void schedule_next() {
+        call_id_.reset();
         if (queue_.next == queue_.end) return;
-        call_ = queue_.next++;
+        call_id_ = queue_.next++;
         pausing_ = true;
-        pause_.expires_after(plans_[*call_].pause);
+        pause_.expires_after(plans_[*call_id_].pause);
         pause_.async_wait([this](boost::system::error_code error) {
             if (!error) send();
         });
@@ -341,129 +348,129 @@
 
     void send() {
         pausing_ = false;
-        if (!wire_ || wire_->ended) wire_ = stage_.client();
-        wire_->say(look(5000, std::to_string(*call_).c_str()));
+        if (!connection_ || connection_->ended) connection_ = stage_.client();
+        connection_->say(look(5000, std::to_string(*call_id_).c_str()));
     }
 
-    void judge(const std::string& message) {
-        const auto got_at = Steady::now();
+    void check_response(const std::string& message) {
+        const auto delivered_at = Steady::now();
         if (status(message) != 200) {
-            ++tally_.unserved;
+            ++counts_.unserved;
             return;
         }
-        const WrittenAnswer& answer = record_.answers.at(number_behind(message, "answer="));
-        if (answer.call == *call_) return;
-        if (answer.behind && !within_rest(answer.behind)) {
-            ++tally_.late_wrong_answers;
+        const WrittenResponse& response = record_.responses.at(number_after(message, "answer="));
+        if (response.call_id == *call_id_) return;
+        if (response.since_previous && !within_reuse_delay(response.since_previous)) {
+            ++counts_.late_wrong_responses;
             return;
         }
-        ++tally_.wrong_answers;
-        if (tally_.trace.empty()) tally_.trace = trace_of(record_, answer, *call_, got_at);
+        ++counts_.wrong_responses;
+        if (counts_.trace.empty()) counts_.trace = trace_of(record_, response, *call_id_, delivered_at);
     }
 
     Stage& stage_;
-    Queue& queue_;
+    RequestQueue& queue_;
     const std::vector<Plan>& plans_;
-    const Record& record_;
-    Tally& tally_;
+    const TrafficRecord& record_;
+    Counts& counts_;
     asio::steady_timer pause_;
-    std::shared_ptr<Wire> wire_;
-    std::optional<std::size_t> call_;  // the request that is next or in flight
+    std::shared_ptr<Wire> connection_;
+    std::optional<std::size_t> call_id_;  // the request that is next or in flight
     bool pausing_ = false;
 };
 
 // Runs a new balancer, its upstreams and its clients until all requests have a response.
-void play_episode(std::size_t clients, std::size_t upstreams, std::mt19937_64& random, Tally& tally) {
+void run_episode(std::size_t clients, std::size_t upstreams, std::mt19937_64& random, Counts& counts) {
     Stage stage(static_cast<int>(upstreams));
-    Record record;
-    Queue queue{0, 60 + 20 * clients};
+    TrafficRecord record;
+    RequestQueue queue{0, 60 + 20 * clients};
     const std::vector<Plan> plans = draw_plans(queue.end, random);
-    std::vector<std::unique_ptr<TwiceUpstream>> twice_upstreams;
+    std::vector<std::unique_ptr<DuplicatingUpstream>> duplicating_upstreams;
     for (std::size_t i = 0; i < upstreams; ++i) {
-        twice_upstreams.push_back(std::make_unique<TwiceUpstream>(stage.loop, plans, record));
-        stage.config["known"]["hosts"][i]["dial"] = text_of(twice_upstreams[i]->address());
+        duplicating_upstreams.push_back(std::make_unique<DuplicatingUpstream>(stage.loop, plans, record));
+        stage.config["known"]["hosts"][i]["dial"] = text_of(duplicating_upstreams[i]->address());
     }
     stage.start();
-    std::vector<std::unique_ptr<PausingClient>> all;
+    std::vector<std::unique_ptr<PausingClient>> pausing_clients;
     for (std::size_t i = 0; i < clients; ++i) {
-        all.push_back(std::make_unique<PausingClient>(stage, queue, plans, record, tally));
+        pausing_clients.push_back(std::make_unique<PausingClient>(stage, queue, plans, record, counts));
     }
     stage.until([&] {
         std::size_t done = 0;
-        for (const auto& client : all) done += client->done();
-        return done == all.size();
+        for (const auto& client : pausing_clients) done += client->process_received();
+        return done == pausing_clients.size();
     });
-    count(record, tally);
+    add_counts(record, counts);
 }
 
-class SecondAnswersUnderLoad : public ::testing::TestWithParam<Load> {};
+class DuplicatesUnderLoad : public ::testing::TestWithParam<Load> {};
 
 // Guards against a connection that is reused before its reuse delay is over, also while many connections are
 // idle: a duplicate response within the delay is then given to another client.
-TEST_P(SecondAnswersUnderLoad, ReachNoOtherRequest) {
+TEST_P(DuplicatesUnderLoad, ReachNoOtherRequest) {
     std::mt19937_64 random(GetParam().seed);
-    Tally tally;
-    for (std::size_t i = 0; i < least_episodes || (!tally.tells() && i < most_episodes); ++i) {
-        play_episode(GetParam().clients, 1 + i % most_upstreams, random, tally);
+    Counts counts;
+    for (std::size_t i = 0; i < min_episodes || (!counts.suffices() && i < max_episodes); ++i) {
+        run_episode(GetParam().clients, 1 + i % max_upstreams, random, counts);
         if (HasFatalFailure()) return;
     }
-    EXPECT_EQ(tally.wrong_answers, 0U);
-    EXPECT_EQ(tally.early_requests, 0U);
-    EXPECT_GE(tally.second_answers_in_rest, least_second_answers);
-    EXPECT_GE(tally.used_requests, least_used_requests);
-    std::cout << tally << "\n";
+    EXPECT_EQ(counts.wrong_responses, 0U);
+    EXPECT_EQ(counts.early_requests, 0U);
+    EXPECT_GE(counts.duplicates_within_delay, min_duplicates);
+    EXPECT_GE(counts.reusing_requests, min_reusing_requests);
+    std::cout << counts << "\n";
 }
 
 std::vector<Load> loads() {
-    std::vector<Load> all;
+    std::vector<Load> load_list;
     for (const std::size_t clients : {1U, 4U, 8U, 16U}) {
-        for (const std::uint64_t seed : {11U, 23U, 37U, 41U, 59U}) all.push_back({seed, clients});
+        for (const std::uint64_t seed : {11U, 23U, 37U, 41U, 59U}) load_list.push_back({seed, clients});
     }
-    return all;
+    return load_list;
 }
 
-INSTANTIATE_TEST_SUITE_P(Loads, SecondAnswersUnderLoad, ::testing::ValuesIn(loads()),
+INSTANTIATE_TEST_SUITE_P(Loads, DuplicatesUnderLoad, ::testing::ValuesIn(loads()),
                          [](const auto& info) { return name_of(info.param); });
 
-// Blocks the loop once, for longer than the reuse delay, in the turn that follows begin().
-class HoldUp {
+// Blocks the loop once, for longer than the reuse delay, in the turn that follows trigger().
+class LoopBlocker {
 public:
-    explicit HoldUp(asio::io_context& loop) : near_(loop), far_(loop) {
+    explicit LoopBlocker(asio::io_context& loop) : write_end_(loop), read_end_(loop) {
         tcp::acceptor acceptor(loop, loopback());
-        near_.connect(acceptor.local_endpoint());
-        acceptor.accept(far_);
-        far_.async_wait(tcp::socket::wait_read, [](boost::system::error_code error) {
-            if (!error) std::this_thread::sleep_for(rest_least + milliseconds(2));
+        write_end_.connect(acceptor.local_endpoint());
+        acceptor.accept(read_end_);
+        read_end_.async_wait(tcp::socket::wait_read, [](boost::system::error_code error) {
+            if (!error) std::this_thread::sleep_for(min_reuse_delay + milliseconds(2));
         });
         loop.poll();
     }
 
-    void begin() { asio::write(near_, asio::buffer("x", 1)); }
+    void trigger() { asio::write(write_end_, asio::buffer("x", 1)); }
 
 private:
-    tcp::socket near_;
-    tcp::socket far_;
+    tcp::socket write_end_;
+    tcp::socket read_end_;
 };
 
 // A response of that many bytes in total.
-std::string answer_of_size(std::size_t bytes) {
+std::string response_of_size(std::size_t bytes) {
     const std::size_t framing = ok(std::string(bytes, '.')).size() - bytes;
     return ok(std::string(bytes - framing, '.'));
 }
 
 // Returns the second client's response where both responses to the first client's request arrive at once and
 // the second client's request arrives in the same turn of the loop, which is blocked between the two.
-std::string next_after_both_answers(std::size_t bytes_of_first) {
+std::string second_client_response(std::size_t bytes_of_first) {
     Stage s(1);
     s.start();
     const auto one = s.client();
     const auto two = s.client();
     one->say(look(5000, "one"));
-    const auto wire = s.request().first;
-    settle(s);
-    HoldUp hold_up(s.loop);
-    wire->say(answer_of_size(bytes_of_first) + ok("to the first, again"));
-    hold_up.begin();
+    const auto connection = s.request().first;
+    process_pending_events(s);
+    LoopBlocker loop_blocker(s.loop);
+    connection->say(response_of_size(bytes_of_first) + ok("to the first, again"));
+    loop_blocker.trigger();
     two->say(look(5000, "two"));
     s.request().first->say(ok("to the second"));
     return s.answer(*two);
@@ -472,9 +479,9 @@
 // Guards against a duplicate response that the system has delivered but the loop has not handled: where the
 // first response ends exactly at the end of a read, the next read already holds the duplicate, and the
 // connection looks quiet. The sizes are those that a read may have.
-TEST(SecondAnswerInAHeldUpTurn, ReachesNoOtherRequest) {
+TEST(DuplicateInABlockedTurn, ReachesNoOtherRequest) {
     for (const std::size_t bytes : {4096U, 8192U, 16384U}) {
-        EXPECT_TRUE(has(next_after_both_answers(bytes), "to the second")) << bytes << " bytes";
+        EXPECT_TRUE(has(second_client_response(bytes), "to the second")) << bytes << " bytes";
     }
 }
 
--- a/tests/second_answer_worlds_test.cpp
+++ b/tests/second_answer_worlds_test.cpp
@@ -11,33 +11,33 @@
 namespace {
 
 // Far longer than the reuse delay.
-constexpr auto longer_than_rest = std::chrono::milliseconds(200);
+constexpr auto longer_than_reuse_delay = std::chrono::milliseconds(200);
 
-enum class World { each_request_is_answered_once, the_first_is_answered_twice };
+enum class UpstreamBehavior { responds_once, duplicates_first_response };
 
 // What an upstream sends, and the request that it responds to, which the bytes do not tell.
-struct Said {
+struct UpstreamResponse {
     std::string bytes;
-    std::string belongs_to;
+    std::string call_id;
 };
 
 // Gives the same stock level in every response.
-class Upstream {
+class ScriptedUpstream {
 public:
-    explicit Upstream(World world) : world_(world) {}
+    explicit ScriptedUpstream(UpstreamBehavior behavior) : behavior_(behavior) {}
 
     // Returns what the upstream sends once a request has arrived whole. An upstream that responds to the
     // first request twice sends the duplicate when the second request arrives, and never responds to that
     // one.
-    Said on_request(const std::string& call_id) {
-        if (first_.empty()) first_ = call_id;
-        const bool again = world_ == World::the_first_is_answered_twice;
-        return {ok("42 in stock"), again ? first_ : call_id};
+    UpstreamResponse on_request(const std::string& call_id) {
+        if (first_call_id_.empty()) first_call_id_ = call_id;
+        const bool duplicates = behavior_ == UpstreamBehavior::duplicates_first_response;
+        return {ok("42 in stock"), duplicates ? first_call_id_ : call_id};
     }
 
 private:
-    const World world_;
-    std::string first_;
+    const UpstreamBehavior behavior_;
+    std::string first_call_id_;
 };
 
 // Removes X-Budget-Ms: the host sets it to the time left, which differs from run to run.
@@ -47,51 +47,53 @@
     return request.erase(begin, request.find("\r\n", begin) + 2 - begin);
 }
 
-struct Played {
-    std::vector<std::string> seen;        // by the host on its connections to the upstream, in order
-    std::vector<std::string> answers;     // received by the client
-    std::vector<std::string> asked;       // the requests of the client, in order
-    std::vector<std::string> belongs_to;  // the requests that these responses belong to
+struct Observation {
+    std::vector<std::string> host_traffic;       // of the host on its connections to the upstream, in order
+    std::vector<std::string> client_responses;   // received by the client
+    std::vector<std::string> request_call_ids;   // the requests of the client, in order
+    std::vector<std::string> response_call_ids;  // the requests that these responses belong to
 };
 
 // A client sends the same request twice, the second time after the reuse delay of the first one's connection.
-Played play(World world) {
+Observation observe(UpstreamBehavior behavior) {
     Stage s(1);
     s.start();
-    Upstream upstream(world);
-    Played played;
+    ScriptedUpstream upstream(behavior);
+    Observation observed;
     const auto client = s.client();
-    std::vector<std::shared_ptr<Wire>> used;
+    std::vector<std::shared_ptr<Wire>> used_connections;
     for (const char* call_id : {"first", "second"}) {
         client->say(look(5000, call_id));
-        const auto [wire, request] = s.request();
-        used.push_back(wire);
-        const Said said = upstream.on_request(call_id);
-        wire->say(said.bytes);
-        played.asked.push_back(call_id);
-        played.seen.insert(played.seen.end(), {"sent " + without_budget(request), "got " + said.bytes});
-        played.answers.push_back(s.answer(*client));
-        played.belongs_to.push_back(said.belongs_to);
-        const auto rested = std::chrono::steady_clock::now() + longer_than_rest;
-        s.until([&] { return std::chrono::steady_clock::now() >= rested; });
+        const auto [connection, request] = s.request();
+        used_connections.push_back(connection);
+        const UpstreamResponse response = upstream.on_request(call_id);
+        connection->say(response.bytes);
+        observed.request_call_ids.push_back(call_id);
+        observed.host_traffic.insert(observed.host_traffic.end(),
+                                     {"sent " + without_budget(request), "got " + response.bytes});
+        observed.client_responses.push_back(s.answer(*client));
+        observed.response_call_ids.push_back(response.call_id);
+        const auto delay_over = std::chrono::steady_clock::now() + longer_than_reuse_delay;
+        s.until([&] { return std::chrono::steady_clock::now() >= delay_over; });
     }
-    EXPECT_TRUE(used.front() == used.back()) << "the connection was not reused";
-    for (const auto& wire : s.upstreams[0]->wires) played.seen.push_back(wire->ended ? "ended" : "stands");
-    return played;
+    EXPECT_TRUE(used_connections.front() == used_connections.back()) << "the connection was not reused";
+    for (const auto& connection : s.upstreams[0]->wires)
+        observed.host_traffic.push_back(connection->ended ? "ended" : "stands");
+    return observed;
 }
 
 // Kept.ReusesAConnection requires that the response reaches the client, the known failure
 // Idle.ASecondAnswerLaterThanTheRestIsNeverGivenToTheNextRequest that it does not. The two differ only in the
 // text of the body, which is opaque to the balancer. Where a connection carries another request that is not
 // marked as its last, one of the two has to fail.
-TEST(TwoWorlds, AnAnswerAndALateSecondAnswerLookTheSame) {
-    const Played once = play(World::each_request_is_answered_once);
-    const Played twice = play(World::the_first_is_answered_twice);
-    EXPECT_EQ(once.seen, twice.seen);
-    EXPECT_EQ(once.answers, twice.answers);
-    EXPECT_TRUE(has(once.answers.back(), "42 in stock"));
-    EXPECT_EQ(once.belongs_to, once.asked);
-    EXPECT_EQ(twice.belongs_to.back(), twice.asked.front());
+TEST(IndistinguishableUpstreams, AResponseAndALateDuplicateLookTheSame) {
+    const Observation once = observe(UpstreamBehavior::responds_once);
+    const Observation twice = observe(UpstreamBehavior::duplicates_first_response);
+    EXPECT_EQ(once.host_traffic, twice.host_traffic);
+    EXPECT_EQ(once.client_responses, twice.client_responses);
+    EXPECT_TRUE(has(once.client_responses.back(), "42 in stock"));
+    EXPECT_EQ(once.response_call_ids, once.request_call_ids);
+    EXPECT_EQ(twice.response_call_ids.back(), twice.request_call_ids.front());
 }
 
 }  // namespace
--- a/tests/slow_upstream.h
+++ b/tests/slow_upstream.h
@@ -11,7 +11,7 @@
 
 // Runs the loop until every event that is pending now has been handled. Each response needs turns of the loop
 // of its own.
-inline void settle(Stage& s) {
+inline void process_pending_events(Stage& s) {
     for (int i = 0; i < 3; ++i) {
         const auto client = s.client();
         client->say("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -19,58 +19,59 @@
     }
 }
 
-inline const std::string turned_away =
+inline const std::string rejection_response =
     "HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n";
 
 // An upstream to which connections are established only on demand: until then its listen backlog is full.
-class Slow {
+class DelayedAcceptUpstream {
 public:
-    explicit Slow(Stage& s) : loop_(s.loop), acceptor_(s.loop) {
+    explicit DelayedAcceptUpstream(Stage& s) : loop_(s.loop), acceptor_(s.loop) {
         acceptor_.open(tcp::v4());
         acceptor_.bind(loopback());
         acceptor_.listen(0);
         s.config["known"]["hosts"][0]["dial"] = text_of(acceptor_.local_endpoint());
-        for (int i = 0; i < 4; ++i) wait_in_line();
-        s.until([&] { return through_ > 0; });
+        for (int i = 0; i < 4; ++i) queue_connection();
+        s.until([&] { return established_count_ > 0; });
     }
-    ~Slow() { acceptor_.close(); }
+    ~DelayedAcceptUpstream() { acceptor_.close(); }
 
-    void wait_in_line() {
-        lines_.push_back(std::make_shared<tcp::socket>(loop_));
-        lines_.back()->async_connect(acceptor_.local_endpoint(), [this, line = lines_.back()](auto error) {
-            through_ += !error;
-            boost::system::error_code ignored;
-            asio::write(*line, asio::buffer("x", 1),
-                        ignored);  // without data, the listener's side may not come up
-        });
+    void queue_connection() {
+        queued_.push_back(std::make_shared<tcp::socket>(loop_));
+        queued_.back()->async_connect(acceptor_.local_endpoint(),
+                                      [this, socket = queued_.back()](auto error) {
+                                          established_count_ += !error;
+                                          boost::system::error_code ignored;
+                                          // Without data, the listener's side may not come up.
+                                          asio::write(*socket, asio::buffer("x", 1), ignored);
+                                      });
     }
     // Accepts connections until all queued ones are established.
-    void let(Stage& s) {
-        wait_in_line();  // queued behind the host's connections
+    void accept_all(Stage& s) {
+        queue_connection();  // queued behind the host's connections
         accept();
-        s.until([&] { return through_ == lines_.size() && wires.size() >= lines_.size(); });
-        settle(s);
+        s.until([&] { return established_count_ == queued_.size() && connections.size() >= queued_.size(); });
+        process_pending_events(s);
     }
 
-    std::vector<std::shared_ptr<Wire>> wires;
+    std::vector<std::shared_ptr<Wire>> connections;
 
 private:
     void accept() {
         acceptor_.async_accept([this](boost::system::error_code error, tcp::socket socket) {
             if (error) return;
-            wires.push_back(std::make_shared<Wire>(std::move(socket)));
-            wires.back()->start();
+            connections.push_back(std::make_shared<Wire>(std::move(socket)));
+            connections.back()->start();
             accept();
         });
     }
     asio::io_context& loop_;
     tcp::acceptor acceptor_;
-    std::vector<std::shared_ptr<tcp::socket>> lines_;
-    std::size_t through_ = 0;
+    std::vector<std::shared_ptr<tcp::socket>> queued_;
+    std::size_t established_count_ = 0;
 };
 
 // Extends deadlines and the connect timeout, so that no slow connection attempt is given up.
-inline void allow_slow_connections(Stage& s) {
+inline void extend_time_limits(Stage& s) {
     for (auto& c : s.config["settings"]["services"]) c["aim"] = 15000.0;
     for (auto& c : s.config["settings"]["services"]) c["hard_limit"] = 15000.0;
     s.config["settings"]["limits"]["connect_timeout"] = 15000.0;
--- a/tests/standing_terms_test.cpp
+++ b/tests/standing_terms_test.cpp
@@ -135,7 +135,7 @@
             served += status(answer) == 200;
             EXPECT_TRUE(status(answer) == 200 || (unsafe && status(answer) == 502)) << answer;
         }
-        settle(s);
+        process_pending_events(s);
         EXPECT_TRUE(s.nothing_sent());
         EXPECT_EQ(arrived, served) << unsafe;
         EXPECT_GT(resetting.resets, 0);
@@ -151,7 +151,7 @@
     s.start();
     const auto client = s.client();
     client->say(once());
-    settle(s);  // the request has been written
+    process_pending_events(s);  // the request has been written
     acceptor.close();
     EXPECT_EQ(status(s.answer(*client)), 502);  // and not 503, which would say that it never ran
 }
@@ -166,7 +166,7 @@
     for (bool waits = false; !waits;) {
         client = s.client();
         client->say(look());
-        settle(s);
+        process_pending_events(s);
         waits = s.nothing_sent();
         if (waits) break;
         s.request().first->say(ok());
@@ -339,7 +339,7 @@
     for (const double connect_timeout : {200.0, 15000.0}) {
         Stage s(1);
         s.config["settings"]["limits"]["connect_timeout"] = connect_timeout;
-        Slow slow(s);
+        DelayedAcceptUpstream slow(s);
         s.start();
         expect_answers_in_time(s, "connections never come up");
         s.host.reset();
@@ -373,7 +373,7 @@
     for (int further = 1; further <= 3; ++further) {
         wait_for(s, held);
         const auto left = budget - (Steady::now() - sent);
-        wire->say(turned_away);
+        wire->say(rejection_response);
         const auto next = s.request();
         EXPECT_GT(told_budget(next.second), milliseconds(0)) << further;
         EXPECT_LE(told_budget(next.second), left) << further;
@@ -387,9 +387,9 @@
 TEST(ToldTime, OfAFurtherAttemptIsWhatIsLeftWhenItsConnectionComesUp) {
     constexpr milliseconds budget(5000), late(600), allowed(150);
     Stage s;
-    allow_slow_connections(s);
+    extend_time_limits(s);
     s.config["settings"]["limits"]["max_attempts"] = 2;  // so that the last may take all that is left
-    Slow slow(s);
+    DelayedAcceptUpstream slow(s);
     s.start();
     std::shared_ptr<Wire> client;
     Steady::time_point sent;
@@ -397,17 +397,17 @@
         client = s.client();
         sent = Steady::now();
         client->say(look(budget.count()));
-        settle(s);
+        process_pending_events(s);
         further = !s.nothing_sent();
         if (!further) client->close();
     }
-    s.request().first->say(turned_away);
+    s.request().first->say(rejection_response);
     wait_for(s, late);
     const auto left = budget - (Steady::now() - sent);
-    slow.let(s);
+    slow.accept_all(s);
     std::string request;
     s.until([&] {
-        for (const auto& wire : slow.wires) {
+        for (const auto& wire : slow.connections) {
             if (const auto at = wire->in.find("GET "); at != std::string::npos) request = wire->in.substr(at);
         }
         return has(request, "\r\n\r\n");
@@ -432,7 +432,7 @@
         }
         const auto staying = s.client();
         staying->say(look(5000, "stays"));
-        settle(s);
+        process_pending_events(s);
         for (const auto& client : leaving) {
             if (how == "closes behind more") client->say(std::string(100000, 'x'));
             if (how == "resets") {
@@ -441,13 +441,13 @@
                 client->close();
             }
         }
-        settle(s);
+        process_pending_events(s);
         s.discovery.wires[0]->say(watch_head + chunk(s.list(9, true).dump() + "\n"));
         const auto [wire, request] = s.request();
         EXPECT_TRUE(has(request, "X-Call-Id: stays\r\n")) << how;
         wire->say(ok());
         EXPECT_EQ(status(s.answer(*staying)), 200) << how;
-        settle(s);
+        process_pending_events(s);
         EXPECT_TRUE(s.nothing_sent()) << how;
         EXPECT_EQ(s.connections(), 1U) << how;
         s.host.reset();
