--- a/tests/crossed_answers_test.cpp
+++ b/tests/crossed_answers_test.cpp
@@ -154,7 +154,7 @@
 // --------------------------------------------------------------------------------- rejections, with a host
 
 // A rejection on a connection that has carried another request may be a duplicate response to that one. A
-// keyed request in flight may still run, so its client must not be told that nothing has happened.
+// deduplicated request in flight may still run, so its client must not be told that nothing has happened.
 TEST(CrossedRejections, ADeduplicatedRequestThatMayRunIsNotReportedAsRejected) {
     Stage s(1);
     s.config["settings"]["limits"]["max_attempts"] = 1;
--- a/tests/slow_upstream.h
+++ b/tests/slow_upstream.h
@@ -37,13 +37,12 @@
 
     void queue_connection() {
         queued_.push_back(std::make_shared<tcp::socket>(loop_));
-        queued_.back()->async_connect(acceptor_.local_endpoint(),
-                                      [this, socket = queued_.back()](auto error) {
-                                          established_count_ += !error;
-                                          boost::system::error_code ignored;
-                                          // Without data, the listener's side may not come up.
-                                          asio::write(*socket, asio::buffer("x", 1), ignored);
-                                      });
+        queued_.back()->async_connect(acceptor_.local_endpoint(), [this, peer = queued_.back()](auto error) {
+            established_count_ += !error;
+            boost::system::error_code ignored;
+            // Without data, the listener's side may not come up.
+            asio::write(*peer, asio::buffer("x", 1), ignored);
+        });
     }
     // Accepts connections until all queued ones are established.
     void accept_all(Stage& s) {
