--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -46,7 +46,7 @@
                 wire->say(watch_response_head);
             }
             wire->say(chunk(s.list(10, full).dump() + "\n"));
-            settle(s);
+            process_pending_events(s);
             expect_none_to_first(s);
             s.host.reset();
         }
@@ -63,7 +63,7 @@
         s.start();
         s.until([&] { return received_request(s.discovery, 1); });
         s.discovery.wires[0]->say(watch_response_head + chunk("\n"));
-        settle(s);
+        process_pending_events(s);
         asio::steady_timer grace(s.loop, std::chrono::milliseconds(400));
         bool over = false;
         if (reset) {
@@ -101,7 +101,7 @@
     client->say(look(5000, "second"));
     const auto next = s.request().first;
     wire->say(ok("to the first, again"));
-    settle(s);
+    process_pending_events(s);
     next->say(ok("to the second"));
     EXPECT_TRUE(has(s.answer(*client), "to the second"));
 }
@@ -212,7 +212,7 @@
     const auto reused = first_reused_connection(s, once());
     ASSERT_TRUE(reused) << "no connection was reused";
     const auto& [client, wire] = *reused;
-    wire->say(turned_away);
+    wire->say(rejection_response);
     EXPECT_EQ(status(s.answer(*client)), 502);
     EXPECT_TRUE(s.nothing_sent());
 }
@@ -224,7 +224,7 @@
     const auto reused = first_reused_connection(s, look());
     ASSERT_TRUE(reused) << "no connection was reused";
     const auto& [client, wire] = *reused;
-    wire->say(turned_away);
+    wire->say(rejection_response);
     s.request().first->say(ok());
     EXPECT_EQ(status(s.answer(*client)), 200);
 }
@@ -235,7 +235,7 @@
     s.start();
     const auto client = s.client();
     client->say(once());
-    s.request().first->say(turned_away);
+    s.request().first->say(rejection_response);
     s.request().first->say(ok());
     EXPECT_EQ(status(s.answer(*client)), 200);
 }
@@ -246,7 +246,7 @@
     s.start();
     const auto client = s.client();
     client->say(once());
-    s.request().first->say(turned_away + ok());
+    s.request().first->say(rejection_response + ok());
     EXPECT_EQ(status(s.answer(*client)), 502);
     EXPECT_TRUE(s.nothing_sent());
 }
@@ -281,9 +281,9 @@
         const auto client = s.client(), other = s.client();
         client->say(look(5000, "leaves"));
         s.request().first->reset();
-        settle(s);
+        process_pending_events(s);
         client->say(std::string(extra_bytes, 'x'));
-        settle(s);
+        process_pending_events(s);
         client->close();
         other->say(look(5000, "stays"));
         s.request().first->reset();
@@ -304,10 +304,10 @@
         const auto client = s.client();
         client->say(look());
         const auto wire = s.request().first;
-        wire->say(turned_away);
+        wire->say(rejection_response);
         client->say(std::string(extra_bytes, 'x'));
         client->close();
-        settle(s);
+        process_pending_events(s);
         EXPECT_TRUE(s.nothing_sent()) << extra_bytes;
         EXPECT_EQ(s.connections(), 1U) << extra_bytes;
         s.host.reset();
@@ -319,7 +319,7 @@
     for (;;) {
         const auto client = s.client();
         client->say(look());
-        settle(s);
+        process_pending_events(s);
         std::shared_ptr<Wire> served;
         for (const auto& wire : s.upstreams[1]->wires) {
             if (!wire->take().empty()) served = wire;
@@ -334,15 +334,15 @@
 TEST(ClientLeaves, NothingIsSentOnceItsConnectionIsEstablished) {
     for (const bool may_cancel : {true, false}) {
         Stage s;
-        allow_slow_connections(s);
+        extend_time_limits(s);
         s.config["settings"]["limits"]["cancel"] = may_cancel;
-        Slow slow(s);
+        DelayedAcceptUpstream slow(s);
         s.start();
         const auto client = client_waiting_for_connection(s);
         client->close();
-        settle(s);
-        slow.let(s);
-        for (const auto& wire : slow.wires) EXPECT_FALSE(has(wire->in, "GET")) << may_cancel;
+        process_pending_events(s);
+        slow.accept_all(s);
+        for (const auto& wire : slow.connections) EXPECT_FALSE(has(wire->in, "GET")) << may_cancel;
         s.host.reset();
     }
 }
@@ -378,8 +378,8 @@
 TEST(PendingConnect, ARemovedUpstreamGetsNoRequest) {
     for (const std::string how : {"leaving", "left", "not named"}) {
         Stage s;
-        allow_slow_connections(s);
-        Slow slow(s);
+        extend_time_limits(s);
+        DelayedAcceptUpstream slow(s);
         s.start();
         const auto client = client_waiting_for_connection(s);
         json update = s.list(9, how == "not named");
@@ -388,9 +388,9 @@
             how == "not named" ? update["hosts"][0]["dial"] : s.config["known"]["hosts"][0]["dial"];
         s.until([&] { return received_request(s.discovery, 1); });
         s.discovery.wires[0]->say(watch_response_head + chunk(update.dump() + "\n"));
-        settle(s);
-        slow.let(s);
-        for (const auto& wire : slow.wires) EXPECT_FALSE(has(wire->in, "GET")) << how;
+        process_pending_events(s);
+        slow.accept_all(s);
+        for (const auto& wire : slow.connections) EXPECT_FALSE(has(wire->in, "GET")) << how;
         s.request().first->say(ok("from the other"));
         EXPECT_TRUE(has(s.answer(*client), "from the other")) << how;
         s.host.reset();
@@ -407,17 +407,17 @@
 TEST(DeduplicatedRetry, IsNotSentAfterItsWindow) {
     const std::chrono::milliseconds window(600);
     Stage s;
-    allow_slow_connections(s);
+    extend_time_limits(s);
     s.config["settings"]["services"][1]["aim"] = 200.0;
     s.config["settings"]["services"][1]["window"] = 600.0;
     s.config["settings"]["limits"]["max_attempts"] = 2;  // so that the retry waits without a timeout
-    Slow slow(s);
+    DelayedAcceptUpstream slow(s);
     s.start();
     std::shared_ptr<Wire> client, first;
     while (!first) {  // until a request goes to the other upstream first
         client = s.client();
         client->say(book());
-        settle(s);
+        process_pending_events(s);
         for (const auto& wire : s.upstreams[1]->wires) {
             if (!wire->take().empty()) first = wire;
         }
@@ -428,8 +428,8 @@
     window_timer.async_wait([&](auto) { window_over = true; });
     first->reset();
     s.until([&] { return window_over; });
-    slow.let(s);
-    for (const auto& wire : slow.wires) EXPECT_FALSE(has(wire->in, "POST"));
+    slow.accept_all(s);
+    for (const auto& wire : slow.connections) EXPECT_FALSE(has(wire->in, "POST"));
     EXPECT_EQ(status(s.answer(*client)), 502);
 }
 
@@ -516,7 +516,7 @@
     shortly.async_wait([&](auto) { fresh = s.client(); });
     s.host->drain();
     s.until([&] { return fresh && idle->ended; });
-    settle(s);
+    process_pending_events(s);
     EXPECT_FALSE(fresh->ended);
     fresh->say(look());
     s.request().first->say(ok());
@@ -532,7 +532,7 @@
     const auto client = s.client();
     client->say(look());
     s.request().first->reset();  // the retry waits for its back-off
-    settle(s);
+    process_pending_events(s);
     s.host->drain();
     s.host->drain();  // SIGTERM may come twice
     s.request().first->say(ok());
@@ -553,7 +553,7 @@
     asio::write(slow, asio::buffer(look()));
     const std::string body(60000, 'x');
     s.request().first->say(ok(body));
-    settle(s);
+    process_pending_events(s);
     s.host->drain();
     const auto client = std::make_shared<Wire>(std::move(slow));
     client->start();
--- a/tests/standing_terms_test.cpp
+++ b/tests/standing_terms_test.cpp
@@ -135,7 +135,7 @@
             served += status(answer) == 200;
             EXPECT_TRUE(status(answer) == 200 || (unsafe && status(answer) == 502)) << answer;
         }
-        settle(s);
+        process_pending_events(s);
         EXPECT_TRUE(s.nothing_sent());
         EXPECT_EQ(arrived, served) << unsafe;
         EXPECT_GT(resetting.resets, 0);
@@ -151,7 +151,7 @@
     s.start();
     const auto client = s.client();
     client->say(once());
-    settle(s);  // the request has been written
+    process_pending_events(s);  // the request has been written
     acceptor.close();
     EXPECT_EQ(status(s.answer(*client)), 502);  // and not 503, which would say that it was not executed
 }
@@ -166,7 +166,7 @@
     for (bool waits = false; !waits;) {
         client = s.client();
         client->say(look());
-        settle(s);
+        process_pending_events(s);
         waits = s.nothing_sent();
         if (waits) break;
         s.request().first->say(ok());
@@ -343,7 +343,7 @@
     for (const double connect_timeout : {200.0, 15000.0}) {
         Stage s(1);
         s.config["settings"]["limits"]["connect_timeout"] = connect_timeout;
-        Slow slow(s);
+        DelayedAcceptUpstream slow(s);
         s.start();
         expect_responses_in_time(s, "connections are not established");
         s.host.reset();
@@ -378,7 +378,7 @@
     for (int retry = 1; retry <= 3; ++retry) {
         wait_for(s, rejection_delay);
         const auto left = budget - (SteadyClock::now() - sent);
-        wire->say(turned_away);
+        wire->say(rejection_response);
         const auto next = s.request();
         EXPECT_GT(forwarded_budget(next.second), milliseconds(0)) << retry;
         EXPECT_LE(forwarded_budget(next.second), left) << retry;
@@ -392,9 +392,9 @@
 TEST(ForwardedBudget, OfARetryIsTheRemainingTimeWhenItIsSent) {
     constexpr milliseconds budget(5000), connect_delay(600), tolerance(150);
     Stage s;
-    allow_slow_connections(s);
+    extend_time_limits(s);
     s.config["settings"]["limits"]["max_attempts"] = 2;  // so that the last may use all of the time
-    Slow slow(s);
+    DelayedAcceptUpstream slow(s);
     s.start();
     std::shared_ptr<Wire> client;
     SteadyClock::time_point sent;
@@ -402,17 +402,17 @@
         client = s.client();
         sent = SteadyClock::now();
         client->say(look(budget.count()));
-        settle(s);
+        process_pending_events(s);
         sent_elsewhere = !s.nothing_sent();
         if (!sent_elsewhere) client->close();
     }
-    s.request().first->say(turned_away);
+    s.request().first->say(rejection_response);
     wait_for(s, connect_delay);
     const auto left = budget - (SteadyClock::now() - sent);
-    slow.let(s);
+    slow.accept_all(s);
     std::string request;
     s.until([&] {
-        for (const auto& wire : slow.wires) {
+        for (const auto& wire : slow.connections) {
             if (const auto at = wire->in.find("GET "); at != std::string::npos) request = wire->in.substr(at);
         }
         return has(request, "\r\n\r\n");
@@ -437,7 +437,7 @@
         }
         const auto staying = s.client();
         staying->say(look(5000, "stays"));
-        settle(s);
+        process_pending_events(s);
         for (const auto& client : leaving) {
             if (how == "closes behind more") client->say(std::string(100000, 'x'));
             if (how == "resets") {
@@ -446,13 +446,13 @@
                 client->close();
             }
         }
-        settle(s);
+        process_pending_events(s);
         s.discovery.wires[0]->say(watch_response_head + chunk(s.list(9, true).dump() + "\n"));
         const auto [wire, request] = s.request();
         EXPECT_TRUE(has(request, "X-Call-Id: stays\r\n")) << how;
         wire->say(ok());
         EXPECT_EQ(status(s.answer(*staying)), 200) << how;
-        settle(s);
+        process_pending_events(s);
         EXPECT_TRUE(s.nothing_sent()) << how;
         EXPECT_EQ(s.connections(), 1U) << how;
         s.host.reset();
