--- a/include/flaxdoor/decide.h
+++ b/include/flaxdoor/decide.h
@@ -137,7 +137,8 @@
     Micros cpu_per_s{};  // key `cpu_us_per_s`: CPU time that a balancer has each second; 0: unknown
     double cpu_us_per_request = 0;  // CPU time of a request with its outcomes, in microseconds; 0: no limit
     ReportSource report_source = ReportSource::none;  // key `load_report.how`
-    std::vector<ReportField> report_fields;  // key `load_report.fields`: order of the values of a load report
+    // Key `load_report.fields`: the values of a load report, in order; empty: there are no load reports.
+    std::vector<ReportField> report_fields;
 
     Micros response_slack{};   // key `answer_slack`: final responses count until so long after the deadline
     Micros ask_within{};       // a balancer without a subscription must call discovery this often
--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -1189,8 +1189,8 @@
     }
 
     // Share of its class's worth that a request has: `over_share_worth` beyond the tenant's share. The share
-    // at one balancer is the tenant's quota divided by the number of zones and of balancers in each, rounded
-    // down.
+    // at one balancer is the tenant's quota divided by the number of zones and by that of the balancers in
+    // each, which is rounded down: no balancer has a larger part.
     double tenant_worth_share(const Request& request, Time now) {
         if (!request.tenant || static_cast<std::size_t>(*request.tenant) >= tenant_quotas_.size()) return 1;
         const auto tenant = static_cast<std::size_t>(*request.tenant);
--- a/tests/rig.h
+++ b/tests/rig.h
@@ -30,41 +30,41 @@
 public:
     void submit(RequestId request, UpstreamId upstream, Micros timeout, Time send_by) override {
         submits.push_back({request, upstream, timeout, send_by});
-        note("submit", request);
+        record("submit", request);
     }
     void refuse(RequestId request, Micros) override {
         refused.push_back(request);
-        note("refuse", request);
+        record("refuse", request);
     }
     void fail(RequestId request) override {
         failed.push_back(request);
-        note("fail", request);
+        record("fail", request);
     }
     void cancel(RequestId request, int attempt) override {
         cancelled.emplace_back(request, attempt);
-        note("cancel", request);
+        record("cancel", request);
     }
     void probe(UpstreamId upstream) override {
         probed.push_back(upstream);
-        note("probe", upstream);
+        record("probe", upstream);
     }
     void set_timer(Time at, std::uint64_t token) override {
         timers.emplace_back(at, token);
-        note("timer", static_cast<std::uint64_t>(at.count()));
+        record("timer", static_cast<std::uint64_t>(at.count()));
     }
     void watch() override {
         ++watches;
-        note("watch", 0);
+        record("watch", 0);
     }
-    void unwatch() override { note("unwatch", 0); }
-    void fetch() override { note("fetch", 0); }
+    void unwatch() override { record("unwatch", 0); }
+    void fetch() override { record("fetch", 0); }
     void close_idle(UpstreamId upstream) override {
         closed.push_back(upstream);
-        note("close", upstream);
+        record("close", upstream);
     }
     void send_message(std::optional<int> peer, std::string_view payload) override {
         messages.emplace_back(peer, payload);
-        note("tell", payload.size());
+        record("send_message", payload.size());
     }
     void log(std::string_view line) override { log_lines.emplace_back(line); }
 
@@ -94,7 +94,7 @@
     int watches = 0;
 
 private:
-    void note(const char* what, std::uint64_t id) {
+    void record(const char* what, std::uint64_t id) {
         action_log.push_back(std::string(what) + std::to_string(id));
     }
 };
