--- a/src/decide.cpp
+++ b/src/decide.cpp
@@ -324,12 +324,12 @@
 
     // Updates the mean latency from which the retry time-out follows. Time-outs are samples too, as twice
     // their timer: without them the retry time-out would fall with each time-out.
-    void learn_latency_or_timeout(std::size_t class_index, double latency_us) {
+    void add_latency_or_timeout(std::size_t class_index, double latency_us) {
         classes_[class_index].latency_with_timeouts.add_sample(latency_us, class_latency_weight);
         update_retry_timeout(class_index);
     }
 
-    void learn_response_latency(std::size_t class_index, double latency_us) {
+    void add_response_latency(std::size_t class_index, double latency_us) {
         ClassState& state = classes_[class_index];
         state.response_latency.add_sample(latency_us, class_latency_weight);
         // Starts no higher than the initial guess, so that latencies of a start under overload are not
@@ -357,15 +357,15 @@
 
     double decay_time_us() const { return decay_retry_timeouts * longest_retry_timeout_us_; }
 
-    void learn_delay_sample(Upstream& upstream, double sample_us, Time now) {
+    void add_delay_sample(Upstream& upstream, double sample_us, Time now) {
         const double elapsed_us = us(now - upstream.delay_updated_at);
         const double weight = std::max(upstream_sample_weight, 1 - std::exp(-elapsed_us / decay_time_us()));
         upstream.delay_us += weight * (sample_us - upstream.delay_us);
         upstream.delay_updated_at = now;
     }
 
-    void learn_slowdown_and_limit(Upstream& upstream, double latency_us, int in_flight_at_send,
-                                  std::size_t class_index) {
+    void update_slowdown_and_limit(Upstream& upstream, double latency_us, int in_flight_at_send,
+                                   std::size_t class_index) {
         const double weight = upstream.mean_in_flight_at_send == 0 ? 1 : upstream_sample_weight;
         const double slowdown = latency_us / std::max(1.0, base_latency_us(class_index));
         upstream.slowdown += weight * (slowdown - upstream.slowdown);
@@ -384,7 +384,7 @@
 
     // Updates the concurrency limit over all upstreams: decreased by a factor under congestion and increased
     // additively otherwise, as a TCP congestion window is.
-    void learn_concurrency_limit(const AttemptEnd& end, std::size_t class_index, Time sent_at, Time now) {
+    void update_concurrency_limit(const AttemptEnd& end, std::size_t class_index, Time sent_at, Time now) {
         concurrency_limit_ = concurrency_limit();
         if (sent_at < limit_decreased_at_)
             return;  // sent before the last decrease: no evidence on the limit since
@@ -442,7 +442,7 @@
         }
     }
 
-    void learn_rejection(Upstream& upstream, bool rejected, Time now) {
+    void update_rejection_rate(Upstream& upstream, bool rejected, Time now) {
         upstream.rejection_rate.add_sample(rejected, upstream_sample_weight, now, decay_time_us());
         if (!rejected) return;
         upstream.in_flight_limit =
@@ -492,7 +492,7 @@
 
     // Updates the delay of an upstream by an outcome: reported requests in flight times the delay of each, or
     // the latency itself where no report came.
-    void learn_delay(Upstream& upstream, const AttemptEnd& end, std::size_t class_index, Time now) {
+    void update_delay(Upstream& upstream, const AttemptEnd& end, std::size_t class_index, Time now) {
         const double latency_us = us(end.latency);
         const bool responded = end.outcome == Outcome::ok || end.outcome == Outcome::error;
         if (responded && in_flight_field_index_ < end.report.size()) {
@@ -501,11 +501,11 @@
             upstream.delay_per_request_us +=
                 (upstream.delay_per_request_us == 0 ? 1 : upstream_sample_weight) *
                 (per_request_us - upstream.delay_per_request_us);
-            learn_delay_sample(upstream, reported_in_flight * upstream.delay_per_request_us, now);
+            add_delay_sample(upstream, reported_in_flight * upstream.delay_per_request_us, now);
         } else if (responded || end.outcome == Outcome::timeout) {
-            learn_delay_sample(upstream, latency_us, now);  // of a time-out: its timer
+            add_delay_sample(upstream, latency_us, now);  // of a time-out: its timer
         } else if (end.outcome == Outcome::rejected) {
-            learn_delay_sample(upstream, classes_[class_index].retry_timeout_us, now);
+            add_delay_sample(upstream, classes_[class_index].retry_timeout_us, now);
         }
     }
 
@@ -589,7 +589,7 @@
         return 2 * ready >= visited;
     }
 
-    void learn_zone_delay(const Upstream& upstream, const AttemptEnd& end, std::size_t class_index) {
+    void update_zone_delay(const Upstream& upstream, const AttemptEnd& end, std::size_t class_index) {
         const bool failed = end.outcome == Outcome::timeout || end.outcome == Outcome::rejected;
         if (!in_own_zone(upstream) || (!failed && end.outcome != Outcome::ok)) return;
         const double sample =
@@ -890,19 +890,19 @@
         close_idle_if_draining(upstream);
         update_in_flight(now);
         const std::size_t class_index = class_of(open);
-        if (end.outcome == Outcome::timeout) learn_latency_or_timeout(class_index, 2 * us(end.latency));
+        if (end.outcome == Outcome::timeout) add_latency_or_timeout(class_index, 2 * us(end.latency));
         if (end.outcome == Outcome::ok) {
             recent_responses_.add(1, now, decay_time_us());
-            learn_latency_or_timeout(class_index, us(end.latency));
-            learn_response_latency(class_index, us(end.latency));
-            learn_slowdown_and_limit(upstream, us(end.latency), attempt.in_flight_at_send, class_index);
+            add_latency_or_timeout(class_index, us(end.latency));
+            add_response_latency(class_index, us(end.latency));
+            update_slowdown_and_limit(upstream, us(end.latency), attempt.in_flight_at_send, class_index);
         }
-        learn_class_health(upstream, end.outcome, class_index, now);
-        learn_concurrency_limit(end, class_index, attempt.sent_at, now);
-        learn_rejection(upstream, end.outcome == Outcome::rejected, now);
-        learn_delay(upstream, end, class_index, now);
-        learn_zone_delay(upstream, end, class_index);
-        learn_health(upstream, end.outcome, class_index, now);
+        update_class_health(upstream, end.outcome, class_index, now);
+        update_concurrency_limit(end, class_index, attempt.sent_at, now);
+        update_rejection_rate(upstream, end.outcome == Outcome::rejected, now);
+        update_delay(upstream, end, class_index, now);
+        update_zone_delay(upstream, end, class_index);
+        update_health(upstream, end.outcome, class_index, now);
         if (end.request_done) open.done = true;
         if (open.done) return release_if_done(slot);
         if (!may_retry(open, now)) return refuse_or_fail(slot);
@@ -966,7 +966,7 @@
                (upstream.in_flight <= 1 || silent_us <= silence_retry_timeouts * longest_retry_timeout_us_);
     }
 
-    void learn_health(Upstream& upstream, Outcome outcome, std::size_t class_index, Time now) {
+    void update_health(Upstream& upstream, Outcome outcome, std::size_t class_index, Time now) {
         if (outcome == Outcome::cancelled || outcome == Outcome::not_sent) return;
         // A time-out counts as a failure only while the upstream responds to nothing else.
         const bool responding =
@@ -987,7 +987,7 @@
 
     // Ejects an upstream for one class, for a while, if most attempts of that class fail there and far more
     // than at all upstreams together.
-    void learn_class_health(Upstream& upstream, Outcome outcome, std::size_t class_index, Time now) {
+    void update_class_health(Upstream& upstream, Outcome outcome, std::size_t class_index, Time now) {
         const bool failed = outcome == Outcome::timeout || outcome == Outcome::error;
         if (!failed && outcome != Outcome::ok) return;
         classes_[class_index].failure_rate +=
--- a/tests/embed/run.cmake
+++ b/tests/embed/run.cmake
@@ -1,4 +1,4 @@
-# Installs the build into a fresh prefix, builds the embedding program against it in a folder of its own, runs it.
+# Installs the build into a fresh prefix, builds the embedding program against it in a separate folder, and runs it.
 file(REMOVE_RECURSE ${WORK})
 foreach(step
     "${CMAKE_COMMAND};--install;${BUILD};--prefix;${WORK}/prefix"
@@ -11,5 +11,5 @@
 endforeach()
 execute_process(COMMAND ${WORK}/build/embed RESULT_VARIABLE result OUTPUT_VARIABLE output)
 if(NOT result EQUAL 0 OR NOT output MATCHES "^request 7 to upstream 4[12]\nrequest 7 to upstream 4[12]\nretried elsewhere\n$")
-  message(FATAL_ERROR "embed said: ${output}")
+  message(FATAL_ERROR "unexpected output of the embedding program: ${output}")
 endif()
