--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -127,7 +127,7 @@
     }
 
     // Between requests, and nothing that has arrived says otherwise.
-    bool idle() { return state_ == State::reading && !request_begun() && quiet(socket_); }
+    bool idle() { return state_ == State::reading && !request_begun() && no_input_pending(socket_); }
     // Idle for so long that it may be closed to make room.
     bool may_be_closed(Time now) { return now - since_ >= min_idle_before_close && idle(); }
     Time since() const { return since_; }
@@ -141,7 +141,7 @@
                 if (!asked_) return now - opened_ > first_request_timeout;
                 if (request_begun()) return now - since_ > request_timeout;
                 // Guards against a request lost that has come and is about to be read.
-                return now - since_ > idle_timeout && quiet(socket_);
+                return now - since_ > idle_timeout && no_input_pending(socket_);
             case State::waiting: return false;
             default: return now - since_ > answer_timeout;
         }
@@ -160,7 +160,7 @@
 
     // The client's end may be here without its turn to be read having come.
     void notice_end() {
-        if (ended(socket_)) gone();
+        if (peer_has_closed(socket_)) gone();
     }
 
     void close() {
@@ -178,7 +178,7 @@
     // the connection for its own answer.
     bool ends_with_answer() {
         if (!keep_alive_ || overrun_) return true;
-        return owner_.winding_down_ && buffer_.size() == 0 && quiet(socket_);
+        return owner_.winding_down_ && buffer_.size() == 0 && no_input_pending(socket_);
     }
 
     void enter(State state) {
@@ -188,8 +188,8 @@
 
     void expect_request() {
         parser_.emplace();
-        parser_->header_limit(header_most);
-        parser_->body_limit(body_most);
+        parser_->header_limit(max_header_bytes);
+        parser_->body_limit(max_body_bytes);
         parser_->eager(true);
         continued_ = false;
         enter(State::reading);
@@ -215,7 +215,7 @@
     // dropped and the connection ends with the answer; to read no further would be not to notice that the
     // client has gone.
     void bound() {
-        if (state_ == State::reading || buffer_.size() <= header_most + body_most) return;
+        if (state_ == State::reading || buffer_.size() <= max_header_bytes + max_body_bytes) return;
         buffer_.consume(buffer_.size());
         overrun_ = true;
     }
--- a/src/net/discovery_call.cpp
+++ b/src/net/discovery_call.cpp
@@ -48,7 +48,7 @@
       check_(loop),
       checks_left_(checks),
       timer_(loop) {
-    parser_.header_limit(header_most);
+    parser_.header_limit(max_header_bytes);
     parser_.body_limit(boost::none);  // a watch never ends; its lines are bounded
     parser_.eager(true);
 }
@@ -102,7 +102,7 @@
     timer_.async_wait([self = shared_from_this(), on_due](error_code error) {
         if (error || self->over_ || self->timer_.expiry() > std::chrono::steady_clock::now()) return;
         // Guards against a loop that is behind: what has come in meanwhile is about to be read.
-        if (self->connected_ && !quiet(self->socket_)) return;
+        if (self->connected_ && !no_input_pending(self->socket_)) return;
         (*self.*on_due)();
     });
 }
@@ -133,7 +133,7 @@
     check_.close(ignored);
     if (!error) return await_check_or_end();
     // The answer has come meanwhile, or the end of the call.
-    if (!quiet(socket_)) return;
+    if (!no_input_pending(socket_)) return;
     fail(CallError::cut_off, error.message());
 }
 
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr std::string_view answer_begin = "HTTP/1.";
+constexpr std::string_view response_prefix = "HTTP/1.";
 
 template <typename Message>
-std::string serialized(Message& message) {
+std::string serialize_message(Message& message) {
     http::serializer<Message::is_request::value, http::string_body> serializer(message);
     std::string bytes;
     while (!serializer.is_done()) {
@@ -33,15 +33,15 @@
 
 }  // namespace
 
-std::string to_bytes(HttpRequest& message) { return serialized(message); }
-std::string to_bytes(HttpResponse& message) { return serialized(message); }
+std::string to_bytes(HttpRequest& message) { return serialize_message(message); }
+std::string to_bytes(HttpResponse& message) { return serialize_message(message); }
 
 void strip_hop_by_hop(http::fields& headers) {
-    std::vector<std::string> named;
+    std::vector<std::string> connection_options;
     for (auto [at, end] = headers.equal_range(http::field::connection); at != end; ++at) {
-        for (const auto name : http::token_list(at->value())) named.emplace_back(name);
+        for (const auto name : http::token_list(at->value())) connection_options.emplace_back(name);
     }
-    for (const auto& name : named) headers.erase(name);
+    for (const auto& name : connection_options) headers.erase(name);
     for (const auto field : {http::field::connection, http::field::keep_alive, http::field::proxy_connection,
                              http::field::proxy_authenticate, http::field::proxy_authorization,
                              http::field::te, http::field::trailer, http::field::transfer_encoding,
@@ -50,29 +50,30 @@
     }
 }
 
-bool quiet(tcp::socket& socket) {
+bool no_input_pending(tcp::socket& socket) {
     char byte = 0;
-    const auto got = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+    const auto size = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    return size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-std::string peek(tcp::socket& socket) {
-    std::string bytes(answer_begin.size(), '\0');
-    const auto got = ::recv(socket.native_handle(), bytes.data(), bytes.size(), MSG_PEEK | MSG_DONTWAIT);
-    bytes.resize(got > 0 ? static_cast<std::size_t>(got) : 0);
+std::string peek_input(tcp::socket& socket) {
+    std::string bytes(response_prefix.size(), '\0');
+    const auto size = ::recv(socket.native_handle(), bytes.data(), bytes.size(), MSG_PEEK | MSG_DONTWAIT);
+    bytes.resize(size > 0 ? static_cast<std::size_t>(size) : 0);
     return bytes;
 }
 
-bool begins_answer(std::string_view text) {
-    return !text.empty() && text.substr(0, answer_begin.size()) == answer_begin.substr(0, text.size());
+bool begins_response(std::string_view text) {
+    return !text.empty() && text.substr(0, response_prefix.size()) == response_prefix.substr(0, text.size());
 }
 
-bool ended(tcp::socket& socket) {
+bool peer_has_closed(tcp::socket& socket) {
     char byte = 0;
-    const auto got = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    if (got <= 0) return got == 0 || (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
-    pollfd behind{socket.native_handle(), POLLRDHUP, 0};  // what came before the end is still unread
-    return ::poll(&behind, 1, 0) > 0;
+    const auto size = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    if (size <= 0) return size == 0 || (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
+    // Unread bytes hide a close from recv(); POLLRDHUP reports the close all the same.
+    pollfd hang_up{socket.native_handle(), POLLRDHUP, 0};
+    return ::poll(&hang_up, 1, 0) > 0;
 }
 
 bool write_some(tcp::socket& socket, const std::string& bytes, std::size_t& written) {
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,4 +1,5 @@
-// What both sides share: the message types, messages as bytes, headers that go on, sockets that stay quiet.
+// HTTP/1.1 and socket helpers shared by the client side, the upstream side and discovery: message types,
+// serialization, hop-by-hop headers, non-blocking reads and writes, and the program's log.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -21,50 +22,56 @@
 using HttpRequest = http::request<http::string_body>;
 using HttpResponse = http::response<http::string_body>;
 
-inline constexpr std::uint32_t header_most = 16 * 1024;
-inline constexpr std::size_t body_most = 64 * 1024;
-inline constexpr std::size_t read_most = 8 * 1024;  // at once
+inline constexpr std::uint32_t max_header_bytes = 16 * 1024;  // of one message
+inline constexpr std::size_t max_body_bytes = 64 * 1024;      // of one message
+inline constexpr std::size_t max_read_bytes = 8 * 1024;       // of one read from a socket
 
+// Returns the whole message as it is sent. The payload must be prepared.
 std::string to_bytes(HttpRequest& message);
 std::string to_bytes(HttpResponse& message);
 
-// Takes out what is meant for one connection only: framing, and what Connection names.
+// Removes the headers that apply to one connection only: framing, and those that Connection lists.
 void strip_hop_by_hop(http::fields& headers);
 
-// No bytes and no end have come: safe to write a request to, or to close between two requests.
-bool quiet(tcp::socket& socket);
+// Returns whether neither unread bytes nor the end of the connection has arrived. Such a connection may be
+// given a request, or closed between two requests.
+bool no_input_pending(tcp::socket& socket);
 
-// The first bytes that have come and are still unread, up to the length of an answer's protocol name.
-std::string peek(tcp::socket& socket);
+// Returns the first unread bytes without consuming them, at most as many as begins_response() looks at.
+std::string peek_input(tcp::socket& socket);
 
-// Whether the text is, or may become, the beginning of an answer.
-bool begins_answer(std::string_view text);
+// Returns whether the text begins, or may after more bytes turn out to begin, an HTTP response. False for an
+// empty text.
+bool begins_response(std::string_view text);
 
-// The end of the connection, or its reset, has come: next, or behind bytes that are still unread.
-bool ended(tcp::socket& socket);
+// Returns whether the peer has closed or reset the connection, even where unread bytes precede the close.
+bool peer_has_closed(tcp::socket& socket);
 
-// Reads once something has come, and hands the error of that to `handler` in the same turn of the loop. So
-// what has come stands in the socket or has been handled: an asynchronous read takes it out of the socket
-// turns before its handler runs, unseen by `quiet`, and leaves no way to consume from the buffer meanwhile.
-// The socket must not block; the handler keeps it and the buffer alive.
+// Waits until the socket is readable, reads once and calls `handler` with the read's error in the same event.
+// Received bytes are therefore either still in the socket or already handled. An asynchronous read takes them
+// out of the socket some events before its handler runs: no_input_pending() would miss them, and the buffer
+// couldn't be consumed from meanwhile.
+// The socket must be non-blocking; the handler keeps the socket and the buffer alive.
 template <typename Handler>
 void read_when_ready(tcp::socket& socket, beast::flat_buffer& buffer, Handler handler) {
     socket.async_wait(tcp::socket::wait_read,
                       [&socket, &buffer, handler = std::move(handler)](error_code error) mutable {
-                          std::size_t got = 0;
-                          if (!error) got = socket.read_some(buffer.prepare(read_most), error);
+                          std::size_t size = 0;
+                          if (!error) size = socket.read_some(buffer.prepare(max_read_bytes), error);
                           if (error == asio::error::would_block) {
                               read_when_ready(socket, buffer, std::move(handler));
                               return;
                           }
-                          buffer.commit(got);
+                          buffer.commit(size);
                           handler(error);
                       });
 }
 
-// Writes what the socket takes at once. False when the connection is broken.
+// Writes as much as the socket accepts without blocking, from offset `written` on, and advances `written`.
+// Returns false when the connection is broken.
 bool write_some(tcp::socket& socket, const std::string& bytes, std::size_t& written);
 
+// Writes one line to standard error.
 void log(std::string_view line);
 
 }  // namespace flaxdoor::net
--- a/src/net/upstreams.cpp
+++ b/src/net/upstreams.cpp
@@ -58,8 +58,8 @@
         : owner_(owner), upstream_(upstream), socket_(owner.loop_), timer_(owner.loop_) {}
 
     UpstreamId upstream() const override { return upstream_; }
-    bool is_quiet() override { return buffer_.size() == 0 && quiet(socket_); }
-    bool has_second_answer() override { return read_second_answer() || begins_answer(peek(socket_)); }
+    bool is_quiet() override { return buffer_.size() == 0 && no_input_pending(socket_); }
+    bool has_second_answer() override { return read_second_answer() || begins_response(peek_input(socket_)); }
 
     void connect(const tcp::endpoint& address, AttemptKey attempt, HttpRequest request, Time expires,
                  Time send_by) {
@@ -152,8 +152,8 @@
 
     void start_answer() {
         parser_.emplace();
-        parser_->header_limit(header_most);
-        parser_->body_limit(body_most);
+        parser_->header_limit(max_header_bytes);
+        parser_->body_limit(max_body_bytes);
         parser_->eager(true);
     }
 
@@ -200,7 +200,7 @@
     // What was read behind the last answer begins a further one.
     bool read_second_answer() const {
         const auto bytes = buffer_.data();
-        return begins_answer({static_cast<const char*>(bytes.data()), bytes.size()});
+        return begins_response({static_cast<const char*>(bytes.data()), bytes.size()});
     }
 
     void take(error_code ended) {
--- a/tests/client_limits_test.cpp
+++ b/tests/client_limits_test.cpp
@@ -26,37 +26,37 @@
 // A peer that sends no request is answered or closed within this.
 constexpr auto peer_deadline = seconds(3);
 
-using Wires = std::vector<std::shared_ptr<Wire>>;
+using Wires = std::vector<std::shared_ptr<PeerConnection>>;
 
 // Clients that have had an answer and keep their connections.
-Wires idle_clients(Stage& s, std::size_t count) {
+Wires idle_clients(HostHarness& s, std::size_t count) {
     Wires clients;
     for (std::size_t i = 0; i < count; ++i) {
-        clients.push_back(s.client());
-        clients.back()->say(ready());
-        EXPECT_EQ(status(s.answer(*clients.back())), 200);
+        clients.push_back(s.connect_client());
+        clients.back()->send(ready_request());
+        EXPECT_EQ(status_code(s.await_response(*clients.back())), 200);
     }
     return clients;
 }
 
-Wires silent_clients(Stage& s, std::size_t count) {
+Wires silent_clients(HostHarness& s, std::size_t count) {
     Wires clients;
-    for (std::size_t i = 0; i < count; ++i) clients.push_back(s.client());
+    for (std::size_t i = 0; i < count; ++i) clients.push_back(s.connect_client());
     return clients;
 }
 
 bool all_ended(const Wires& wires) {
-    return std::all_of(wires.begin(), wires.end(), [](const auto& wire) { return wire->ended; });
+    return std::all_of(wires.begin(), wires.end(), [](const auto& wire) { return wire->peer_closed; });
 }
 
 bool none_ended(const Wires& wires) {
-    return std::none_of(wires.begin(), wires.end(), [](const auto& wire) { return wire->ended; });
+    return std::none_of(wires.begin(), wires.end(), [](const auto& wire) { return wire->peer_closed; });
 }
 
-void expect_served(Stage& s, const Wires& clients) {
+void expect_served(HostHarness& s, const Wires& clients) {
     for (const auto& client : clients) {
-        client->say(ready());
-        EXPECT_EQ(status(s.answer(*client)), 200);
+        client->send(ready_request());
+        EXPECT_EQ(status_code(s.await_response(*client)), 200);
     }
 }
 
@@ -91,64 +91,64 @@
 // Of two idle connections only the one that has been idle for 2 s makes room. The other one does so when its
 // turn has come.
 TEST(ClientLimits, OnlyAConnectionIdleForTwoSecondsMakesRoom) {
-    Stage s(1);
+    HostHarness s(1);
     s.config["limits"]["sockets"] = 36;  // two of them for clients
     s.start();
-    const auto older = s.client(), younger = s.client();
+    const auto older = s.connect_client(), younger = s.connect_client();
     const auto older_not_before = Steady::now();
-    older->say(ready());
-    EXPECT_EQ(status(s.answer(*older)), 200);
-    const std::string halves[] = {ready().substr(0, 10), ready().substr(10)};
-    younger->say(halves[0]);
+    older->send(ready_request());
+    EXPECT_EQ(status_code(s.await_response(*older)), 200);
+    const std::string halves[] = {ready_request().substr(0, 10), ready_request().substr(10)};
+    younger->send(halves[0]);
 
-    const auto shut = s.client();
-    s.until([&] { return shut->ended || older->ended; });
-    EXPECT_FALSE(older->ended);
+    const auto shut = s.connect_client();
+    s.run_until([&] { return shut->peer_closed || older->peer_closed; });
+    EXPECT_FALSE(older->peer_closed);
 
     const auto younger_not_before = Steady::now();
-    younger->say(halves[1]);
-    EXPECT_EQ(status(s.answer(*younger)), 200);
-    const auto newcomer = s.persistent_client(ready());
-    EXPECT_EQ(status(newcomer.second), 200);
-    s.until([&] { return older->ended; });
-    EXPECT_GE(older->ended_at - older_not_before, min_idle);
-    EXPECT_FALSE(younger->ended);
+    younger->send(halves[1]);
+    EXPECT_EQ(status_code(s.await_response(*younger)), 200);
+    const auto newcomer = s.send_with_reconnects(ready_request());
+    EXPECT_EQ(status_code(newcomer.second), 200);
+    s.run_until([&] { return older->peer_closed; });
+    EXPECT_GE(older->peer_closed_at - older_not_before, min_idle);
+    EXPECT_FALSE(younger->peer_closed);
 
-    const auto another = s.persistent_client(ready());
-    EXPECT_EQ(status(another.second), 200);
-    s.until([&] { return younger->ended; });
-    EXPECT_GE(younger->ended_at - younger_not_before, min_idle);
-    EXPECT_FALSE(newcomer.first->ended);
+    const auto another = s.send_with_reconnects(ready_request());
+    EXPECT_EQ(status_code(another.second), 200);
+    s.run_until([&] { return younger->peer_closed; });
+    EXPECT_GE(younger->peer_closed_at - younger_not_before, min_idle);
+    EXPECT_FALSE(newcomer.first->peer_closed);
 }
 
 // A client that comes when one has been idle for long enough is served on its first connection.
 TEST(ClientLimits, AConnectionIdleForLongerMakesRoomAtOnce) {
-    Stage s(1);
+    HostHarness s(1);
     s.config["limits"]["sockets"] = sockets;
     s.start();
     const auto idle = idle_clients(s, client_connections);
     const auto idle_since = Steady::now();
-    s.until([&] { return Steady::now() - idle_since > min_idle + std::chrono::milliseconds(200); });
+    s.run_until([&] { return Steady::now() - idle_since > min_idle + std::chrono::milliseconds(200); });
     EXPECT_TRUE(none_ended(idle));
-    const auto newcomer = s.client();
-    newcomer->say(look());
-    s.request().first->say(ok());
-    EXPECT_EQ(status(s.answer(*newcomer)), 200);
-    s.until([&] { return idle.front()->ended; });
+    const auto newcomer = s.connect_client();
+    newcomer->send(idempotent_request());
+    s.await_request().first->send(ok_response());
+    EXPECT_EQ(status_code(s.await_response(*newcomer)), 200);
+    s.run_until([&] { return idle.front()->peer_closed; });
     expect_served(s, Wires(idle.begin() + 1, idle.end()));
 }
 
 // One new client takes the place of one connection, also where several have been idle for long enough by the
 // time at which it is let in.
 TEST(ClientLimits, ANewClientThatWaitsClosesOneConnection) {
-    Stage s(1);
+    HostHarness s(1);
     s.config["limits"]["sockets"] = sockets;
     s.start();
     Wires idle = silent_clients(s, client_connections);
     expect_served(s, idle);
-    EXPECT_EQ(status(s.persistent_client(ready()).second), 200);
-    s.until([&] { return !none_ended(idle); });
-    std::erase_if(idle, [](const auto& client) { return client->ended; });
+    EXPECT_EQ(status_code(s.send_with_reconnects(ready_request()).second), 200);
+    s.run_until([&] { return !none_ended(idle); });
+    std::erase_if(idle, [](const auto& client) { return client->peer_closed; });
     EXPECT_EQ(idle.size(), client_connections - 1);
     expect_served(s, idle);
 }
@@ -156,18 +156,18 @@
 // While none may make room, new connections are shut in time, and the balancer rests in between.
 TEST(ClientLimits, NewClientsAreShutInTimeWithoutSpinning) {
     constexpr std::size_t most_handlers = 200;
-    Stage s(1);
+    HostHarness s(1);
     s.config["limits"]["sockets"] = sockets;
     s.start();
     const auto idle = idle_clients(s, client_connections);
     const auto connected_at = Steady::now();
     const auto newcomers = silent_clients(s, 3);
     std::size_t handlers = 0;
-    s.until([&] {
+    s.run_until([&] {
         handlers += s.loop.poll_one();
         return all_ended(newcomers);
     });
-    for (const auto& newcomer : newcomers) EXPECT_LT(newcomer->ended_at - connected_at, peer_deadline);
+    for (const auto& newcomer : newcomers) EXPECT_LT(newcomer->peer_closed_at - connected_at, peer_deadline);
     EXPECT_LT(handlers, most_handlers);
     EXPECT_TRUE(none_ended(idle));
 }
@@ -176,74 +176,76 @@
 // connections. Clients with an open connection are served, and discovery is heard when it is back.
 TEST(ClientLimits, IdleClientsLeaveDescriptorsForUpstreamsAndDiscovery) {
     constexpr std::size_t crowd_size = 40;
-    Stage s(2);
-    Listener discovery(s.loop, Listener::Begin::reserved);
-    s.config["discovery"] = text_of(discovery.address());
+    HostHarness s(2);
+    Listener discovery(s.loop, Listener::InitialState::reserved);
+    s.config["discovery"] = endpoint_text(discovery.address());
     s.config["limits"]["sockets"] = sockets;
     const auto descriptors_before = open_descriptors();
     s.start();
     const auto idle = idle_clients(s, client_connections);
     const auto crowd_came_at = Steady::now();
     const auto crowd = silent_clients(s, crowd_size);
-    s.until([&] { return all_ended(crowd); });
-    for (const auto& wire : crowd) EXPECT_LT(wire->ended_at - crowd_came_at, peer_deadline);
+    s.run_until([&] { return all_ended(crowd); });
+    for (const auto& wire : crowd) EXPECT_LT(wire->peer_closed_at - crowd_came_at, peer_deadline);
 
     const auto client = idle.front();
-    client->say(look());
-    const auto served_by = s.request().first;
+    client->send(idempotent_request());
+    const auto served_by = s.await_request().first;
     ASSERT_TRUE(served_by);
-    const auto held_by_peers = idle.size() + crowd.size() + s.connections();
+    const auto held_by_peers = idle.size() + crowd.size() + s.upstream_connection_count();
     EXPECT_LE(open_descriptors() - descriptors_before - held_by_peers, sockets);
-    served_by->say(ok());
-    EXPECT_EQ(status(s.answer(*client)), 200);
-    EXPECT_TRUE(discovery.wires.empty());
+    served_by->send(ok_response());
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
+    EXPECT_TRUE(discovery.connections.empty());
 
     // The balancer closes its kept connection to an upstream that discovery says has left.
-    const std::size_t left = s.upstreams[0]->wires.empty() ? 1 : 0;
-    json news = s.list(9, false);
-    news["hosts"] = {s.upstream(left, "left")};
+    const std::size_t left = s.upstreams[0]->connections.empty() ? 1 : 0;
+    json news = s.list_json(9, false);
+    news["hosts"] = {s.upstream_json(left, "left")};
     discovery.listen();
-    s.until([&] { return !discovery.wires.empty() && has(discovery.wires[0]->in, "\r\n\r\n"); });
-    discovery.wires[0]->say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-                            chunk(news.dump() + "\n"));
-    s.until([&] { return served_by->ended; });
-    client->say(look());
-    s.request().first->say(ok());
-    EXPECT_EQ(status(s.answer(*client)), 200);
-    EXPECT_EQ(s.upstreams[left]->wires.size(), 1U);
-    EXPECT_EQ(s.upstreams[1 - left]->wires.size(), 1U);
+    s.run_until([&] {
+        return !discovery.connections.empty() && contains(discovery.connections[0]->received, "\r\n\r\n");
+    });
+    discovery.connections[0]->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+                                   chunk(news.dump() + "\n"));
+    s.run_until([&] { return served_by->peer_closed; });
+    client->send(idempotent_request());
+    s.await_request().first->send(ok_response());
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
+    EXPECT_EQ(s.upstreams[left]->connections.size(), 1U);
+    EXPECT_EQ(s.upstreams[1 - left]->connections.size(), 1U);
 }
 
 // Each client connection that is closed makes room for one new client.
 TEST(ClientLimits, NewClientsAreServedOnceOthersClose) {
-    Stage s(1);
+    HostHarness s(1);
     s.config["limits"]["sockets"] = sockets;
     s.start();
     const auto idle = idle_clients(s, client_connections);
-    const auto shut = s.client();
-    s.until([&] { return shut->ended; });
+    const auto shut = s.connect_client();
+    s.run_until([&] { return shut->peer_closed; });
     EXPECT_TRUE(none_ended(idle));
     constexpr std::size_t leaving = 3;
     for (std::size_t i = 0; i < leaving; ++i) idle[i]->close();
     for (std::size_t i = 0; i < leaving; ++i) {
-        const auto newcomer = s.client();
-        newcomer->say(look());
-        s.request().first->say(ok());
-        EXPECT_EQ(status(s.answer(*newcomer)), 200);
+        const auto newcomer = s.connect_client();
+        newcomer->send(idempotent_request());
+        s.await_request().first->send(ok_response());
+        EXPECT_EQ(status_code(s.await_response(*newcomer)), 200);
     }
     expect_served(s, Wires(idle.begin() + leaving, idle.end()));
 }
 
 // The process's own limit holds where it is below that of the configuration.
 TEST(ClientLimits, TheDescriptorLimitOfTheProcessHolds) {
-    Stage s(1);
+    HostHarness s(1);
     {
         const LoweredDescriptorLimit lowered(sockets);
         s.start();
     }
     const auto idle = idle_clients(s, client_connections);
-    const auto newcomer = s.client();
-    s.until([&] { return newcomer->ended; });
+    const auto newcomer = s.connect_client();
+    s.run_until([&] { return newcomer->peer_closed; });
     EXPECT_TRUE(none_ended(idle));
 }
 
@@ -253,20 +255,20 @@
 TEST(ClientLimits, ARequestThatCrossesALookAtAConnectionLongAtRestIsAnswered) {
     constexpr auto longer_than_a_request = std::chrono::milliseconds(11000);
     constexpr auto longer_than_between_looks = std::chrono::milliseconds(300);
-    Stage s(1);
+    HostHarness s(1);
     s.start();
-    const auto client = s.client();
-    client->say(ready());
-    EXPECT_EQ(status(s.answer(*client)), 200);
+    const auto client = s.connect_client();
+    client->send(ready_request());
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
     const auto rested = Steady::now() + longer_than_a_request;
-    s.until([&] { return Steady::now() >= rested; });
+    s.run_until([&] { return Steady::now() >= rested; });
     asio::steady_timer crosses(s.loop, std::chrono::milliseconds(1));
     crosses.async_wait([&](auto) {
-        client->say(ready());
-        while (client->undelivered() > 0) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+        client->send(ready_request());
+        while (client->undelivered_bytes() > 0) std::this_thread::sleep_for(std::chrono::milliseconds(1));
     });
     std::this_thread::sleep_for(longer_than_between_looks);
-    EXPECT_EQ(status(s.answer(*client)), 200);
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
 }
 
 }  // namespace
--- a/tests/connection_rest_test.cpp
+++ b/tests/connection_rest_test.cpp
@@ -40,8 +40,8 @@
     std::size_t resting = 1;
     Micros second_after = std::chrono::milliseconds(2);  // behind the first answer, or later
     std::string ahead;  // what comes of the first answer a whole rest before its end
-    std::string first = ok(first_body);
-    std::string second = ok(second_body);
+    std::string first = ok_response(first_body);
+    std::string second = ok_response(second_body);
     std::size_t next = 1;  // requests that come while connections rest
     Micros next_after{};   // behind the first answer, or as soon as all were taken
     Micros held_up{};      // for so long the loop makes no turn once the first answers were written
@@ -118,9 +118,9 @@
     return out;
 }
 
-using Wires = std::vector<std::shared_ptr<Wire>>;
+using Wires = std::vector<std::shared_ptr<PeerConnection>>;
 
-std::optional<std::size_t> place_in(const Wires& wires, const std::shared_ptr<Wire>& wire) {
+std::optional<std::size_t> place_in(const Wires& wires, const std::shared_ptr<PeerConnection>& wire) {
     const auto found = std::find(wires.begin(), wires.end(), wire);
     if (found == wires.end()) return std::nullopt;
     return static_cast<std::size_t>(found - wires.begin());
@@ -141,17 +141,17 @@
             if (carried == Carried::requests) send(first_request + i);
         }
         while (used.size() < count) {
-            used.push_back(stage.request().first);
+            used.push_back(stage.await_request().first);
             ASSERT_TRUE(used.back());
         }
-        ASSERT_EQ(stage.connections(), count);
+        ASSERT_EQ(stage.upstream_connection_count(), count);
     }
 
     // Answers on every connection, and returns once all answers were taken and all connections rest.
     void answer_all(const std::string& answer, Micros held_up = {}) {
         say_first(answer);
         if (held_up > Micros{0}) hold_up_loop(held_up);
-        stage.until([&] { return results.count() == used.size(); });
+        stage.run_until([&] { return results.count() == used.size(); });
         ASSERT_EQ(upstreams.idle(upstream), used.size());
     }
 
@@ -159,7 +159,7 @@
     void answer_in_turn(const std::string& answer) {
         for (const auto& wire : used) {
             say_first_on(*wire, answer);
-            stage.until([&] { return results.count() == round.answered_at.size(); });
+            stage.run_until([&] { return results.count() == round.answered_at.size(); });
             ASSERT_EQ(upstreams.idle(upstream), round.answered_at.size());
         }
     }
@@ -168,9 +168,9 @@
         for (const auto& wire : used) say_first_on(*wire, answer);
     }
 
-    void say_first_on(Wire& wire, const std::string& answer) {
+    void say_first_on(PeerConnection& wire, const std::string& answer) {
         round.answered_at.push_back(clock.now());
-        wire.say(answer);
+        wire.send(answer);
     }
 
     // The test's own sleep between two turns stands for a loop that is held up. No answer is read until it is
@@ -186,7 +186,7 @@
     }
 
     void say_on_used(const std::string& text) {
-        for (const auto& wire : used) wire->say(text);
+        for (const auto& wire : used) wire->send(text);
     }
 
     void hand_over_next() {
@@ -199,7 +199,7 @@
 
     // Finds where a request that was handed over came out.
     void see_next() {
-        const auto [wire, message] = stage.request();
+        const auto [wire, message] = stage.await_request();
         ASSERT_TRUE(wire);
         const auto request = std::stoul(message.substr(message.find(path) + path.size()));
         const auto one = std::find_if(round.next.begin(), round.next.end(),
@@ -212,8 +212,8 @@
 
     // Answers what came while connections rested. Whatever was written before is read before this.
     void answer_next() {
-        for (const auto& wire : carriers) wire->say(ok(next_body));
-        stage.until([&] { return results.count() == used.size() + round.next.size(); });
+        for (const auto& wire : carriers) wire->send(ok_response(next_body));
+        stage.run_until([&] { return results.count() == used.size() + round.next.size(); });
         for (Next& one : round.next) {
             const net::AttemptResult* result = results.of(one.request);
             ASSERT_TRUE(result);
@@ -227,7 +227,7 @@
         asio::steady_timer timer(stage.loop, clock.steady(at));
         bool over = false;
         timer.async_wait([&](auto) { over = true; });
-        stage.until([&] { return over; });
+        stage.run_until([&] { return over; });
     }
 
     void send(RequestId request) {
@@ -235,7 +235,7 @@
         upstreams.send({request, 0}, upstream, std::move(message), expires(), expires());
     }
 
-    Stage stage{1};
+    HostHarness stage{1};
     const net::Clock clock;
     Results results;
     net::Upstreams upstreams;
@@ -266,7 +266,7 @@
     for (std::size_t i = 0; i < exchange.next; ++i) ASSERT_NO_FATAL_FAILURE(direct.see_next());
     direct.wait_until(direct.round.begin() + exchange.second_after);
     direct.say_second(exchange.second);
-    direct.stage.until([&] { return direct.upstreams.idle(upstream) == 0; });
+    direct.stage.run_until([&] { return direct.upstreams.idle(upstream) == 0; });
     ASSERT_NO_FATAL_FAILURE(direct.answer_next());
     round = direct.round;
 }
@@ -293,7 +293,7 @@
     FAIL() << "no round was quick enough to meet connections that rest";
 }
 
-bool answered_twice(const std::string& figures) { return has(figures, "; answered twice "); }
+bool answered_twice(const std::string& figures) { return contains(figures, "; answered twice "); }
 
 void expect_rest_kept_in(const Exchange& exchange) {
     expect_rest_kept_by([&](Round& round) {
@@ -354,7 +354,7 @@
 // The rest counts from the last byte.
 TEST_P(Rest, BeginsAtTheEndOfAnAnswerInTwoPieces) {
     Exchange two_pieces = exchange();
-    const std::string answer = ok(first_body);
+    const std::string answer = ok_response(first_body);
     two_pieces.ahead = answer.substr(0, answer.size() - 3);
     two_pieces.first = answer.substr(answer.size() - 3);
     expect_rest_kept_in(two_pieces);
@@ -370,15 +370,15 @@
 TEST_P(Rest, NoConnectionOfAProbeCarriesAnotherRequest) {
     DirectUpstreams direct;
     ASSERT_NO_FATAL_FAILURE(direct.open(GetParam(), Carried::probes));
-    direct.say_first(ok(first_body));
-    direct.stage.until([&] { return direct.results.probes.size() == GetParam(); });
+    direct.say_first(ok_response(first_body));
+    direct.stage.run_until([&] { return direct.results.probes.size() == GetParam(); });
     EXPECT_EQ(direct.upstreams.idle(upstream), 0U);
     direct.hand_over_next();
     ASSERT_NO_FATAL_FAILURE(direct.see_next());
     EXPECT_FALSE(direct.round.next.front().used);
     ASSERT_NO_FATAL_FAILURE(direct.answer_next());
     EXPECT_EQ(direct.round.next.front().body, next_body);
-    for (const auto& wire : direct.used) direct.stage.until([&] { return wire->ended; });
+    for (const auto& wire : direct.used) direct.stage.run_until([&] { return wire->peer_closed; });
 }
 
 // An answer that lay in the socket for longer than a rest while the loop was held up has been read just now.
@@ -420,7 +420,7 @@
     expect_rest_kept_by([&](Round& round) {
         DirectUpstreams direct(cap);
         ASSERT_NO_FATAL_FAILURE(direct.open(cap));
-        ASSERT_NO_FATAL_FAILURE(direct.answer_in_turn(ok(first_body)));
+        ASSERT_NO_FATAL_FAILURE(direct.answer_in_turn(ok_response(first_body)));
         direct.hand_over_next();
         EXPECT_FALSE(direct.results.of(next_request)) << "given up at once";
         ASSERT_NO_FATAL_FAILURE(direct.see_next());
@@ -428,17 +428,17 @@
         ASSERT_NO_FATAL_FAILURE(direct.answer_next());
         round = direct.round;
         if (!round.met_all_resting() || round.next.front().used) return;
-        direct.stage.until([&] { return direct.used.front()->ended; });
-        for (std::size_t other = 1; other < cap; ++other) EXPECT_FALSE(direct.used[other]->ended);
+        direct.stage.run_until([&] { return direct.used.front()->peer_closed; });
+        for (std::size_t other = 1; other < cap; ++other) EXPECT_FALSE(direct.used[other]->peer_closed);
     });
 }
 
 // ---------------------------------------------------------------------------------- a second answer, unread
 
 // Waits, without a turn of the loop, until what was said has reached the other side's socket.
-void wait_until_delivered(const Wire& wire) {
+void wait_until_delivered(const PeerConnection& wire) {
     const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(5);
-    while (wire.undelivered() > 0) {
+    while (wire.undelivered_bytes() > 0) {
         ASSERT_LT(std::chrono::steady_clock::now(), limit) << "not delivered";
         std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
@@ -462,10 +462,10 @@
 TEST_P(UnreadAnswer, IsNoticedOnAConnectionThatHasRested) {
     DirectUpstreams direct;
     ASSERT_NO_FATAL_FAILURE(direct.open(GetParam()));
-    ASSERT_NO_FATAL_FAILURE(direct.answer_all(ok(first_body)));
+    ASSERT_NO_FATAL_FAILURE(direct.answer_all(ok_response(first_body)));
     direct.wait_until(direct.clock.now() + rest);
     ASSERT_EQ(direct.upstreams.idle(upstream), GetParam());
-    direct.say_second(ok(second_body));
+    direct.say_second(ok_response(second_body));
     for (const auto& wire : direct.used) ASSERT_NO_FATAL_FAILURE(wait_until_delivered(*wire));
     direct.hand_over_next();
     expect_noticed(direct);
@@ -479,15 +479,15 @@
     ASSERT_NO_FATAL_FAILURE(direct.open(GetParam()));
     direct.results.on_attempt = [&] {
         if (direct.results.count() != GetParam()) return;
-        direct.say_second(ok(second_body));
+        direct.say_second(ok_response(second_body));
         for (const auto& wire : direct.used) wait_until_delivered(*wire);
         direct.hand_over_next();
     };
     asio::post(direct.stage.loop, [&] {
-        direct.say_first(ok(first_body));
+        direct.say_first(ok_response(first_body));
         std::this_thread::sleep_for(hold_up);
     });
-    direct.stage.until([&] { return !direct.round.next.empty(); });
+    direct.stage.run_until([&] { return !direct.round.next.empty(); });
     expect_noticed(direct);
 }
 
@@ -496,8 +496,8 @@
 
 // An answer of so many bytes in all.
 std::string answer_of(std::size_t size) {
-    const std::size_t head = ok(std::string(size, 'x')).size() - size;
-    return ok(std::string(size - head, 'x'));
+    const std::size_t head = ok_response(std::string(size, 'x')).size() - size;
+    return ok_response(std::string(size - head, 'x'));
 }
 
 class SecondAnswerBehindTheFirst : public testing::TestWithParam<std::size_t> {};
@@ -517,8 +517,8 @@
     const std::string first = answer_of(GetParam());
     ASSERT_EQ(first.size(), GetParam());
     direct.round.second_written_at = direct.clock.now();
-    direct.say_first(first + ok(second_body));
-    direct.stage.until([&] { return !direct.round.next.empty(); });
+    direct.say_first(first + ok_response(second_body));
+    direct.stage.run_until([&] { return !direct.round.next.empty(); });
     expect_noticed(direct);
 }
 
@@ -534,24 +534,24 @@
     Wires upstream;
 };
 
-void send_until_out(Stage& s, Out& out, std::size_t count) {
+void send_until_out(HostHarness& s, Out& out, std::size_t count) {
     while (out.upstream.size() < count && !testing::Test::HasFatalFailure()) {
-        out.clients.push_back(s.client());
-        out.clients.back()->say(look());
-        out.upstream.push_back(s.request().first);
+        out.clients.push_back(s.connect_client());
+        out.clients.back()->send(idempotent_request());
+        out.upstream.push_back(s.await_request().first);
     }
 }
 
 // So many requests out at once, each on a connection of its own. A host lets two out to an upstream that it
 // knows nothing of, and one more with each answer to the last that it let out; those connections are not
 // kept.
-Out send_at_once(Stage& s, std::size_t count) {
+Out send_at_once(HostHarness& s, std::size_t count) {
     constexpr std::size_t at_first = 2;
     Out out;
     for (std::size_t may = at_first; may < count; ++may) {
         send_until_out(s, out, may);
-        out.upstream.back()->say(ok(first_body, "Connection: close\r\n"));
-        EXPECT_EQ(status(s.answer(*out.clients.back())), 200);
+        out.upstream.back()->send(ok_response(first_body, "Connection: close\r\n"));
+        EXPECT_EQ(status_code(s.await_response(*out.clients.back())), 200);
         out.upstream.pop_back();
         out.clients.pop_back();
     }
@@ -562,31 +562,31 @@
 // So many clients of a host are answered, a further one comes at once, and then the first are answered again.
 void play_with_clients(std::size_t resting, Round& round) {
     const net::Clock clock;
-    Stage s(1);
+    HostHarness s(1);
     s.config["settings"]["services"][0]["aim"] = 4000.0;  // nothing is sent again while a machine is slow
     s.start();
-    const auto last = s.client();
+    const auto last = s.connect_client();
     const Out out = send_at_once(s, resting);
     const Wires& used = out.upstream;
     ASSERT_EQ(std::set(used.begin(), used.end()).size(), resting);
     for (const auto& wire : used) {
         round.answered_at.push_back(clock.now());
-        wire->say(ok(first_body));
+        wire->send(ok_response(first_body));
     }
-    for (const auto& client : out.clients) ASSERT_TRUE(has(s.answer(*client), first_body));
-    last->say(look());
-    const auto carrier = s.request().first;
+    for (const auto& client : out.clients) ASSERT_TRUE(contains(s.await_response(*client), first_body));
+    last->send(idempotent_request());
+    const auto carrier = s.await_request().first;
     ASSERT_TRUE(carrier);
     Next next;
     next.request = next_request;
     next.handed_at = next.seen_at = clock.now();  // the host handed it over sooner
     next.used = place_in(used, carrier);
     round.second_written_at = clock.now();
-    for (const auto& wire : used) wire->say(ok(second_body));
+    for (const auto& wire : used) wire->send(ok_response(second_body));
     settle(s);
-    carrier->say(ok(next_body));
-    const std::string answer = s.answer(*last);
-    next.outcome = status(answer) == 200 ? Outcome::ok : Outcome::error;
+    carrier->send(ok_response(next_body));
+    const std::string answer = s.await_response(*last);
+    next.outcome = status_code(answer) == 200 ? Outcome::ok : Outcome::error;
     next.body = answer.substr(std::min(answer.size(), answer.find("\r\n\r\n") + 4));
     round.next.push_back(next);
 }
--- a/tests/crossed_answers_test.cpp
+++ b/tests/crossed_answers_test.cpp
@@ -51,21 +51,21 @@
         }
     }
     // The answer to the request that is out.
-    void answer(Wire& wire, const std::string& bytes) {
+    void answer(PeerConnection& wire, const std::string& bytes) {
         const std::size_t known = results.count();
-        wire.say(bytes);
-        stage.until([&] { return results.count() > known; });
+        wire.send(bytes);
+        stage.run_until([&] { return results.count() > known; });
     }
     // One whole exchange, and the connection that it went over.
-    std::shared_ptr<Wire> exchange(Asker asker) {
+    std::shared_ptr<PeerConnection> exchange(Asker asker) {
         send(asker);
-        const auto wire = stage.request().first;
-        answer(*wire, ok(report_body));
+        const auto wire = stage.await_request().first;
+        answer(*wire, ok_response(report_body));
         return wire;
     }
     void pass(std::chrono::milliseconds span) {
         const auto over = std::chrono::steady_clock::now() + span;
-        stage.until([&] { return std::chrono::steady_clock::now() >= over; });
+        stage.run_until([&] { return std::chrono::steady_clock::now() >= over; });
     }
     // The last result of this kind is that of an answer with this body.
     void expect_answered(Asker asker, const std::string& body) const {
@@ -78,7 +78,7 @@
         }
     }
 
-    Stage stage{2};
+    HostHarness stage{2};
     const net::Clock clock;
     Results results;
     net::Upstreams upstreams{stage.loop, clock, {std::chrono::seconds(5), {}, 8}, report_fields, results};
@@ -94,16 +94,16 @@
 // A second answer, be it a refusal, that has come before the next request goes out, read or unread.
 TEST(CrossedProbes, ASecondAnswerThatHasComeReachesNeitherAClientNorAProbe) {
     for (const auto& [first, next] : mixed_pairs) {
-        for (const std::string& second_answer : {ok(other_report_body), turned_away}) {
+        for (const std::string& second_answer : {ok_response(other_report_body), turned_away}) {
             for (const bool read : {true, false}) {
                 Connections c;
                 const auto wire = c.exchange(first);
-                wire->say(second_answer);
-                if (read) c.stage.until([&] { return wire->ended; });
+                wire->send(second_answer);
+                if (read) c.stage.run_until([&] { return wire->peer_closed; });
                 c.send(next);
-                const auto other = c.stage.request().first;
+                const auto other = c.stage.await_request().first;
                 EXPECT_TRUE(other != wire);
-                c.answer(*other, ok(report_body));
+                c.answer(*other, ok_response(report_body));
                 c.expect_answered(next, report_body);
             }
         }
@@ -116,9 +116,9 @@
     const auto wire = c.exchange(askers.first);
     c.pass(longer_than_rest);
     c.send(askers.next);
-    const auto next = c.stage.request().first;
-    wire->say(ok(other_report_body));
-    c.answer(*next, ok(report_body));
+    const auto next = c.stage.await_request().first;
+    wire->send(ok_response(other_report_body));
+    c.answer(*next, ok_response(report_body));
     c.expect_answered(askers.next, report_body);
 }
 
@@ -138,15 +138,15 @@
 TEST(CrossedConnections, OneToAFormerAddressCarriesNoFurtherRequest) {
     Connections c;
     c.send(Asker::client);
-    const auto wire = c.stage.request().first;
+    const auto wire = c.stage.await_request().first;
     c.upstreams.set_address(Connections::id, c.stage.upstreams[1]->address());
-    c.answer(*wire, ok("from the former"));
+    c.answer(*wire, ok_response("from the former"));
     c.expect_answered(Asker::client, "from the former");
     c.pass(longer_than_rest);
     c.send(Asker::client);
-    const auto next = c.stage.request().first;
+    const auto next = c.stage.await_request().first;
     EXPECT_TRUE(next != wire);
-    EXPECT_EQ(c.stage.upstreams[1]->wires.size(), 1U);
+    EXPECT_EQ(c.stage.upstreams[1]->connections.size(), 1U);
 }
 
 // --------------------------------------------------------------------------------- refusals, before a host
@@ -154,21 +154,21 @@
 // A refusal on a connection that has carried another request may be a second answer to that one: a keyed
 // request that it meets may run, so that its client is not told that nothing has happened.
 TEST(CrossedRefusals, AKeyedRequestThatMayRunIsNotAnsweredAsRefused) {
-    Stage s(1);
+    HostHarness s(1);
     s.config["settings"]["limits"]["max_attempts"] = 1;
     s.start();
-    const auto client = s.client();
-    client->say(book());
-    const auto wire = s.request().first;
-    wire->say(ok());
-    EXPECT_EQ(status(s.answer(*client)), 200);
+    const auto client = s.connect_client();
+    client->send(deduplicated_request());
+    const auto wire = s.await_request().first;
+    wire->send(ok_response());
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
     const auto rested = std::chrono::steady_clock::now() + longer_than_rest;
-    s.until([&] { return std::chrono::steady_clock::now() >= rested; });
-    client->say(book());
-    const auto next = s.request().first;
+    s.run_until([&] { return std::chrono::steady_clock::now() >= rested; });
+    client->send(deduplicated_request());
+    const auto next = s.await_request().first;
     ASSERT_TRUE(next == wire) << "the connection was not kept";
-    next->say(turned_away);
-    EXPECT_EQ(status(s.answer(*client)), 502);
+    next->send(turned_away);
+    EXPECT_EQ(status_code(s.await_response(*client)), 502);
 }
 
 // ----------------------------------------------------------------------------------------------- discovery
@@ -178,20 +178,21 @@
 TEST(CrossedDiscovery, ASecondAnswerToACallIsNeverTaken) {
     const net::ListNames names{{"here", "there"}, {"full node"}};
     for (const bool in_one_piece : {true, false}) {
-        Stage s;
+        HostHarness s;
         Reports reports;
         net::Discovery client(s.loop, s.discovery.address(), names, reports);
         client.fetch();
-        s.until([&] { return asked(s.discovery, 1); });
-        const auto wire = s.discovery.wires[0];
-        const std::string first = ok(s.list(8, true).dump()), second = ok(s.list(9, true).dump());
-        wire->say(in_one_piece ? first + second : first);
-        s.until([&] { return !reports.lists.empty(); });
+        s.run_until([&] { return asked(s.discovery, 1); });
+        const auto wire = s.discovery.connections[0];
+        const std::string first = ok_response(s.list_json(8, true).dump()),
+                          second = ok_response(s.list_json(9, true).dump());
+        wire->send(in_one_piece ? first + second : first);
+        s.run_until([&] { return !reports.lists.empty(); });
         client.fetch();
-        s.until([&] { return asked(s.discovery, 2); });
-        if (!in_one_piece) wire->say(second);
-        s.discovery.wires[1]->say(ok(s.list(10, true).dump()));
-        s.until([&] { return reports.lists.size() >= 2; });
+        s.run_until([&] { return asked(s.discovery, 2); });
+        if (!in_one_piece) wire->send(second);
+        s.discovery.connections[1]->send(ok_response(s.list_json(10, true).dump()));
+        s.run_until([&] { return reports.lists.size() >= 2; });
         EXPECT_EQ(reports.versions(), (std::vector<std::uint64_t>{8, 10})) << in_one_piece;
         EXPECT_TRUE(reports.failures.empty()) << in_one_piece;
     }
@@ -201,21 +202,21 @@
 // reaches the next watch.
 TEST(CrossedDiscovery, AnAnswerBehindTheEndOfAWatchIsNeverTaken) {
     const net::ListNames names{{"here", "there"}, {"full node"}};
-    Stage s;
+    HostHarness s;
     Reports reports;
     net::Discovery client(s.loop, s.discovery.address(), names, reports);
     client.watch();
-    s.until([&] { return asked(s.discovery, 1); });
-    const auto wire = s.discovery.wires[0];
-    const std::string behind = watch_head + chunk(s.list(9, true).dump() + "\n");
-    wire->say(watch_head + chunk(s.list(8, true).dump() + "\n") + last_chunk + behind);
-    s.until([&] { return !reports.failures.empty(); });
+    s.run_until([&] { return asked(s.discovery, 1); });
+    const auto wire = s.discovery.connections[0];
+    const std::string behind = watch_head + chunk(s.list_json(9, true).dump() + "\n");
+    wire->send(watch_head + chunk(s.list_json(8, true).dump() + "\n") + last_chunk + behind);
+    s.run_until([&] { return !reports.failures.empty(); });
     client.watch();
-    s.until([&] { return asked(s.discovery, 2); });
-    EXPECT_TRUE(has(s.discovery.wires[1]->in, "index=8 "));
-    wire->say(behind);
-    s.discovery.wires[1]->say(watch_head + chunk(s.list(10, true).dump() + "\n"));
-    s.until([&] { return reports.lists.size() >= 2; });
+    s.run_until([&] { return asked(s.discovery, 2); });
+    EXPECT_TRUE(contains(s.discovery.connections[1]->received, "index=8 "));
+    wire->send(behind);
+    s.discovery.connections[1]->send(watch_head + chunk(s.list_json(10, true).dump() + "\n"));
+    s.run_until([&] { return reports.lists.size() >= 2; });
     EXPECT_EQ(reports.versions(), (std::vector<std::uint64_t>{8, 10}));
     EXPECT_EQ(reports.failures, std::vector{net::ListFailure::closed});
 }
@@ -225,61 +226,61 @@
 // What is answered here, without an upstream, stands behind a request that waits for one: the answers go out
 // in the order of the requests.
 TEST(CrossedClients, WhatIsAnsweredHereDoesNotOvertakeAnAnswer) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto client = s.client();
+    const auto client = s.connect_client();
     const std::string unknown = "GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n";
-    client->say(look(5000, "first"));
-    const auto wire = s.request().first;
-    client->say(unknown + ready() + look(5000, "second"));
+    client->send(idempotent_request(5000, "first"));
+    const auto wire = s.await_request().first;
+    client->send(unknown + ready_request() + idempotent_request(5000, "second"));
     settle(s);
-    EXPECT_TRUE(client->in.empty());
-    wire->say(ok("to the first"));
-    EXPECT_TRUE(has(s.answer(*client), "to the first"));
-    EXPECT_EQ(status(s.answer(*client)), 404);
-    EXPECT_EQ(status(s.answer(*client)), 200);
-    const auto [next, request] = s.request();
-    EXPECT_TRUE(has(request, "second"));
-    next->say(ok("to the second"));
-    EXPECT_TRUE(has(s.answer(*client), "to the second"));
+    EXPECT_TRUE(client->received.empty());
+    wire->send(ok_response("to the first"));
+    EXPECT_TRUE(contains(s.await_response(*client), "to the first"));
+    EXPECT_EQ(status_code(s.await_response(*client)), 404);
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
+    const auto [next, request] = s.await_request();
+    EXPECT_TRUE(contains(request, "second"));
+    next->send(ok_response("to the second"));
+    EXPECT_TRUE(contains(s.await_response(*client), "to the second"));
 }
 
 // Two clients name their requests alike, and are answered in the other order.
 TEST(CrossedClients, RequestsOfOneNameGetTheirOwnAnswers) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto first = s.client(), second = s.client();
-    first->say(look());
-    const auto to_first = s.request().first;
-    second->say(look());
-    const auto to_second = s.request().first;
-    to_second->say(ok("to the second"));
-    EXPECT_TRUE(has(s.answer(*second), "to the second"));
-    to_first->say(ok("to the first"));
-    EXPECT_TRUE(has(s.answer(*first), "to the first"));
+    const auto first = s.connect_client(), second = s.connect_client();
+    first->send(idempotent_request());
+    const auto to_first = s.await_request().first;
+    second->send(idempotent_request());
+    const auto to_second = s.await_request().first;
+    to_second->send(ok_response("to the second"));
+    EXPECT_TRUE(contains(s.await_response(*second), "to the second"));
+    to_first->send(ok_response("to the first"));
+    EXPECT_TRUE(contains(s.await_response(*first), "to the first"));
 }
 
 // The first `length` bytes of a request stand behind another one that waits; the rest comes after its answer.
 void expect_taken_whole(const std::string& request, std::size_t length, const std::string& end) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto client = s.client();
-    client->say(look() + request.substr(0, length));
-    s.request().first->say(ok("to the first"));
-    EXPECT_TRUE(has(s.answer(*client), "to the first"));
+    const auto client = s.connect_client();
+    client->send(idempotent_request() + request.substr(0, length));
+    s.await_request().first->send(ok_response("to the first"));
+    EXPECT_TRUE(contains(s.await_response(*client), "to the first"));
     settle(s);
-    EXPECT_TRUE(s.nothing_sent());
-    client->say(request.substr(length));
-    const auto [wire, forwarded] = s.request();
+    EXPECT_TRUE(s.no_unread_requests());
+    client->send(request.substr(length));
+    const auto [wire, forwarded] = s.await_request();
     ASSERT_TRUE(wire);
-    EXPECT_TRUE(has(forwarded, "X-Call-Class: once\r\n")) << forwarded;
+    EXPECT_TRUE(contains(forwarded, "X-Call-Class: once\r\n")) << forwarded;
     EXPECT_TRUE(forwarded.ends_with(end)) << forwarded;
-    wire->say(ok("to the second"));
-    EXPECT_TRUE(has(s.answer(*client), "to the second"));
+    wire->send(ok_response("to the second"));
+    EXPECT_TRUE(contains(s.await_response(*client), "to the second"));
 }
 
 TEST(CrossedClients, ARequestCutInItsHeadBehindAnotherIsTakenWhole) {
-    const std::string request = once(5000, "for the second");
+    const std::string request = at_most_once_request(5000, "for the second");
     expect_taken_whole(request, request.find("X-Call-Class"), "\r\n\r\nfor the second");
 }
 
@@ -287,26 +288,26 @@
 // the same connection: a read under way while the bytes that have come are consumed writes beside their
 // place.
 TEST(CrossedClients, ARequestCutInItsBodyBehindAnotherIsTakenWhole) {
-    const std::string request = once(5000, "for the second");
+    const std::string request = at_most_once_request(5000, "for the second");
     expect_taken_whole(request, request.size() - 4, "\r\n\r\nfor the second");
 }
 
 // Guards, for the same reason, against the second of two requests sent at once that runs twice, and a third
 // that never does.
 TEST(CrossedClients, ARequestAfterTwoThatCameTogetherIsTakenForNoOther) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto client = s.client();
+    const auto client = s.connect_client();
     const auto expect_served = [&](const std::string& body) {
-        const auto [wire, request] = s.request();
+        const auto [wire, request] = s.await_request();
         EXPECT_TRUE(request.ends_with("\r\n\r\n" + body)) << request;
-        wire->say(ok("served " + body));
-        EXPECT_TRUE(has(s.answer(*client), "served " + body));
+        wire->send(ok_response("served " + body));
+        EXPECT_TRUE(contains(s.await_response(*client), "served " + body));
     };
-    client->say(once(5000, "one") + once(5000, "two"));
+    client->send(at_most_once_request(5000, "one") + at_most_once_request(5000, "two"));
     expect_served("one");
     expect_served("two");
-    client->say(once(5000, "new"));
+    client->send(at_most_once_request(5000, "new"));
     expect_served("new");
 }
 
@@ -321,76 +322,76 @@
 // come in one turn; the first request ends with what is read at once.
 TEST(CrossedClients, ARequestBehindOneThatFillsAReadIsAnsweredInAShutdown) {
     constexpr auto past_first_look = std::chrono::milliseconds(600);
-    Stage s(1);
+    HostHarness s(1);
     s.start();
-    const auto client = s.client();
-    client->say(ready());
-    EXPECT_EQ(status(s.answer(*client)), 200);
+    const auto client = s.connect_client();
+    client->send(ready_request());
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
     s.host->drain();
-    client->say(ready_of_size(net::read_most) + look());
+    client->send(ready_of_size(net::max_read_bytes) + idempotent_request());
     std::this_thread::sleep_for(past_first_look);
-    EXPECT_EQ(status(s.answer(*client)), 200);
-    const auto wire = s.request().first;
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
+    const auto wire = s.await_request().first;
     ASSERT_TRUE(wire);
-    wire->say(ok("to the request behind"));
-    EXPECT_TRUE(has(s.answer(*client), "to the request behind"));
+    wire->send(ok_response("to the request behind"));
+    EXPECT_TRUE(contains(s.await_response(*client), "to the request behind"));
 }
 
 // Long after SIGTERM: the host winds down.
 constexpr auto past_still_coming = std::chrono::milliseconds(600);
 
 // Runs the loop until the shutdown that begins now winds down.
-void drain_until_it_winds_down(Stage& s) {
+void drain_until_it_winds_down(HostHarness& s) {
     s.host->drain();
     const auto winds_down = std::chrono::steady_clock::now() + past_still_coming;
-    s.until([&] { return std::chrono::steady_clock::now() >= winds_down; });
+    s.run_until([&] { return std::chrono::steady_clock::now() >= winds_down; });
 }
 
 // Guards against a request dropped in a shutdown that comes in the very moment of the answer before it: it
 // stands unread in its socket then. The answer and the request are both there before the host looks at
 // either.
 TEST(CrossedClients, ARequestThatComesWithTheAnswerBeforeItIsAnsweredInAShutdown) {
-    Stage s(1);
+    HostHarness s(1);
     s.config["settings"]["services"][0]["aim"] = 4000.0;
     s.start();
-    const auto client = s.client();
-    client->say(look(5000, "one"));
-    const auto wire = s.request().first;
+    const auto client = s.connect_client();
+    client->send(idempotent_request(5000, "one"));
+    const auto wire = s.await_request().first;
     drain_until_it_winds_down(s);
-    wire->say(ok("to one"));
-    client->say(look(5000, "two"));
-    EXPECT_TRUE(has(s.answer(*client), "to one"));
-    const auto next = s.request().first;
+    wire->send(ok_response("to one"));
+    client->send(idempotent_request(5000, "two"));
+    EXPECT_TRUE(contains(s.await_response(*client), "to one"));
+    const auto next = s.await_request().first;
     ASSERT_TRUE(next);
-    next->say(ok("to two"));
-    const std::string answer = s.answer(*client);
-    EXPECT_TRUE(has(answer, "to two"));
-    EXPECT_TRUE(has(answer, "Connection: close")) << "nothing more has come";
-    s.until([&] { return client->ended; });
+    next->send(ok_response("to two"));
+    const std::string answer = s.await_response(*client);
+    EXPECT_TRUE(contains(answer, "to two"));
+    EXPECT_TRUE(contains(answer, "Connection: close")) << "nothing more has come";
+    s.run_until([&] { return client->peer_closed; });
     client->close();
-    s.until([&] { return s.host->drained(); });
+    s.run_until([&] { return s.host->drained(); });
 }
 
 // Guards against a request that a shutdown cuts off in the middle: its first half stands behind another.
 TEST(CrossedClients, ARequestCutBehindAnotherIsTakenWholeInAShutdown) {
-    const std::string request = look(5000, "second");
-    Stage s(1);
+    const std::string request = idempotent_request(5000, "second");
+    HostHarness s(1);
     s.config["settings"]["services"][0]["aim"] = 4000.0;
     s.start();
-    const auto client = s.client();
-    client->say(look(5000, "first") + request.substr(0, request.size() / 2));
-    const auto wire = s.request().first;
+    const auto client = s.connect_client();
+    client->send(idempotent_request(5000, "first") + request.substr(0, request.size() / 2));
+    const auto wire = s.await_request().first;
     drain_until_it_winds_down(s);
-    wire->say(ok("to the first"));
-    EXPECT_TRUE(has(s.answer(*client), "to the first"));
+    wire->send(ok_response("to the first"));
+    EXPECT_TRUE(contains(s.await_response(*client), "to the first"));
     settle(s);
-    EXPECT_FALSE(client->ended);
-    client->say(request.substr(request.size() / 2));
-    const auto [next, forwarded] = s.request();
+    EXPECT_FALSE(client->peer_closed);
+    client->send(request.substr(request.size() / 2));
+    const auto [next, forwarded] = s.await_request();
     ASSERT_TRUE(next);
-    EXPECT_TRUE(has(forwarded, "X-Call-Id: second\r\n")) << forwarded;
-    next->say(ok("to the second"));
-    EXPECT_TRUE(has(s.answer(*client), "to the second"));
+    EXPECT_TRUE(contains(forwarded, "X-Call-Id: second\r\n")) << forwarded;
+    next->send(ok_response("to the second"));
+    EXPECT_TRUE(contains(s.await_response(*client), "to the second"));
 }
 
 // Guards against requests that have been read and get no answer before SIGKILL: several came at once, and the
@@ -398,20 +399,20 @@
 TEST(CrossedClients, AllThatCameTogetherAreAnsweredBeforeTheKill) {
     constexpr auto earliest_kill = std::chrono::milliseconds(3700);
     constexpr int requests = 8;
-    Stage s(1);
+    HostHarness s(1);
     s.start();
-    const auto client = s.client();
+    const auto client = s.connect_client();
     std::string at_once;
-    for (int i = 0; i < requests; ++i) at_once += once();
-    client->say(at_once);
-    s.request();
+    for (int i = 0; i < requests; ++i) at_once += at_most_once_request();
+    client->send(at_once);
+    s.await_request();
     asio::steady_timer kill(s.loop, earliest_kill);
     bool killed = false;
     s.host->drain();
     kill.async_wait([&](auto) { killed = true; });
     int answered = 0;
-    s.until([&] {
-        answered += !client->take().empty();
+    s.run_until([&] {
+        answered += !client->take_message().empty();
         return killed || answered == requests;
     });
     EXPECT_EQ(answered, requests);
@@ -421,23 +422,23 @@
 // Guards against a request that is read and dropped in a shutdown: it came whole with the one before it.
 TEST(CrossedClients, TheSecondOfTwoThatCameTogetherIsAnsweredInAShutdown) {
     constexpr auto until_it_winds_down = std::chrono::milliseconds(600);
-    Stage s(1);
+    HostHarness s(1);
     s.config["settings"]["services"][0]["aim"] = 1500.0;
     s.start();
-    const auto client = s.client(), idle = s.client();
-    idle->say(ready());
-    EXPECT_EQ(status(s.answer(*idle)), 200);
-    client->say(look(5000, "one") + look(5000, "two"));
-    const auto wire = s.request().first;
+    const auto client = s.connect_client(), idle = s.connect_client();
+    idle->send(ready_request());
+    EXPECT_EQ(status_code(s.await_response(*idle)), 200);
+    client->send(idempotent_request(5000, "one") + idempotent_request(5000, "two"));
+    const auto wire = s.await_request().first;
     s.host->drain();
     const auto winds_down = std::chrono::steady_clock::now() + until_it_winds_down;
-    s.until([&] { return std::chrono::steady_clock::now() >= winds_down; });
-    wire->say(ok("to one"));
-    EXPECT_TRUE(has(s.answer(*client), "to one"));
-    const auto next = s.request().first;
+    s.run_until([&] { return std::chrono::steady_clock::now() >= winds_down; });
+    wire->send(ok_response("to one"));
+    EXPECT_TRUE(contains(s.await_response(*client), "to one"));
+    const auto next = s.await_request().first;
     ASSERT_TRUE(next);
-    next->say(ok("to two"));
-    EXPECT_TRUE(has(s.answer(*client), "to two"));
+    next->send(ok_response("to two"));
+    EXPECT_TRUE(contains(s.await_response(*client), "to two"));
 }
 
 // A client sends a request, and half of a further one or all of it, and goes, before the answer to the first
@@ -447,22 +448,22 @@
         bool whole, answered;
     };
     for (const auto& [whole, answered] : {Case{false, false}, Case{false, true}, Case{true, false}}) {
-        Stage s;
+        HostHarness s;
         s.start();
-        const auto client = s.client();
-        const std::string next = once();
-        client->say(look() + next.substr(0, next.size() - (whole ? 0 : 2)));
-        const auto wire = s.request().first;
+        const auto client = s.connect_client();
+        const std::string next = at_most_once_request();
+        client->send(idempotent_request() + next.substr(0, next.size() - (whole ? 0 : 2)));
+        const auto wire = s.await_request().first;
         if (answered) {
-            wire->say(ok());
-            EXPECT_EQ(status(s.answer(*client)), 200);
+            wire->send(ok_response());
+            EXPECT_EQ(status_code(s.await_response(*client)), 200);
         }
         settle(s);
         client->close();
-        if (!answered) s.until([&] { return wire->ended; });
+        if (!answered) s.run_until([&] { return wire->peer_closed; });
         settle(s);
-        EXPECT_TRUE(s.nothing_sent()) << whole << answered;
-        EXPECT_EQ(s.connections(), 1U) << whole << answered;
+        EXPECT_TRUE(s.no_unread_requests()) << whole << answered;
+        EXPECT_EQ(s.upstream_connection_count(), 1U) << whole << answered;
         s.host.reset();
     }
 }
--- a/tests/discovery_peers.h
+++ b/tests/discovery_peers.h
@@ -39,15 +39,15 @@
 };
 
 inline bool asked(const Listener& discovery, std::size_t n) {
-    return discovery.wires.size() >= n && has(discovery.wires[n - 1]->in, "\r\n\r\n");
+    return discovery.connections.size() >= n && contains(discovery.connections[n - 1]->received, "\r\n\r\n");
 }
 
 // The connections that carry a call, in the order in which they came: all but the checks, which carry
 // nothing.
-inline std::vector<std::shared_ptr<Wire>> calls_at(const Listener& discovery) {
-    std::vector<std::shared_ptr<Wire>> calls;
-    for (const auto& wire : discovery.wires) {
-        if (!wire->in.empty()) calls.push_back(wire);
+inline std::vector<std::shared_ptr<PeerConnection>> calls_at(const Listener& discovery) {
+    std::vector<std::shared_ptr<PeerConnection>> calls;
+    for (const auto& wire : discovery.connections) {
+        if (!wire->received.empty()) calls.push_back(wire);
     }
     return calls;
 }
--- a/tests/discovery_wait_test.cpp
+++ b/tests/discovery_wait_test.cpp
@@ -47,18 +47,19 @@
     void take_filler() { filler_end_ = acceptor_.accept(); }
 
     std::size_t checks() const {
-        return static_cast<std::size_t>(std::count_if(
-            wires.begin(), wires.end(), [](const auto& wire) { return wire->in.empty() && wire->ended; }));
+        return static_cast<std::size_t>(std::count_if(wires.begin(), wires.end(), [](const auto& wire) {
+            return wire->received.empty() && wire->peer_closed;
+        }));
     }
 
-    std::vector<std::shared_ptr<Wire>> wires;  // in the order in which they came
+    std::vector<std::shared_ptr<PeerConnection>> wires;  // in the order in which they came
 
 private:
     void accept() {
         if (takes_ && wires.size() == *takes_) return fill();
         acceptor_.async_accept([this](boost::system::error_code error, tcp::socket socket) {
             if (error) return;
-            wires.push_back(std::make_shared<Wire>(std::move(socket)));
+            wires.push_back(std::make_shared<PeerConnection>(std::move(socket)));
             wires.back()->start();
             accept();
         });
@@ -112,7 +113,7 @@
         timer->async_wait([timer, step = std::move(step)](boost::system::error_code) { step(); });
     }
     void say_after(milliseconds delay, std::string text) {
-        after(delay, [this, text = std::move(text)] { machine.wires[0]->say(text); });
+        after(delay, [this, text = std::move(text)] { machine.wires[0]->send(text); });
     }
     void expect(Expected expected) { expected_ = std::move(expected); }
 
@@ -178,7 +179,7 @@
 
     Scene& list = scenes.add("a call for the list, answered after 4 s", always);
     list.call(Scene::Call::list);
-    list.say_after(milliseconds(4000), ok(whole_list));
+    list.say_after(milliseconds(4000), ok_response(whole_list));
     list.expect({{list_at(milliseconds(4000))}, 1});
 
     Scene& longer = scenes.add("a watch with more checks, answered after 9 s", always, checks_for_9s);
@@ -291,7 +292,7 @@
         moved.client->watch();
     });
     const milliseconds answered = in_check + milliseconds(500);
-    moved.after(answered, [&target] { target.wires.at(0)->say(empty_line); });
+    moved.after(answered, [&target] { target.wires.at(0)->send(empty_line); });
     moved.expect({{list_at(answered), silent_at(answered + silence)}, 0});
 }
 
@@ -382,8 +383,8 @@
         up.machine.take_filler();
         ended.machine.refuse();
         std::this_thread::sleep_for(repeated);
-        spoke.machine.wires[0]->say(empty_line);
-        ended.machine.wires[0]->say(empty_line);
+        spoke.machine.wires[0]->send(empty_line);
+        ended.machine.wires[0]->send(empty_line);
         std::this_thread::sleep_for(held_up - repeated);
     });
     run_for(loop, in_check + held_up + milliseconds(500));
@@ -392,12 +393,12 @@
 
 // The agent that pushes lists has no queue, and the policy uses a pushed list for as long as it has no other.
 TEST(DiscoveryWait, ACallForPushedListsIsNotChecked) {
-    Stage s;
+    HostHarness s;
     s.config["settings"]["registry_mode"] = "push";
     s.start();
-    s.until([&] { return asked(s.discovery, 1); });
+    s.run_until([&] { return asked(s.discovery, 1); });
     run_for(s.loop, gap + milliseconds(200));
-    EXPECT_EQ(s.discovery.wires.size(), 1U);
+    EXPECT_EQ(s.discovery.connections.size(), 1U);
 }
 
 }  // namespace
--- a/tests/message_forms_test.cpp
+++ b/tests/message_forms_test.cpp
@@ -19,9 +19,9 @@
 }
 
 // Each piece has been read by the time the next one is written.
-void say_in_pieces(Stage& s, Wire& wire, std::string_view text, std::size_t size) {
+void say_in_pieces(HostHarness& s, PeerConnection& wire, std::string_view text, std::size_t size) {
     for (std::size_t at = 0; at < text.size(); at += size) {
-        wire.say(text.substr(at, size));
+        wire.send(text.substr(at, size));
         s.loop.restart();
         s.loop.poll();
     }
@@ -77,27 +77,27 @@
 TEST(Pieces, RequestsInAllFormsArePassedOnWholeAndOnce) {
     for (const std::size_t size : {1, 3, 7}) {
         for (const auto& form : request_forms()) {
-            Stage s;
+            HostHarness s;
             s.start();
-            const auto client = s.client();
+            const auto client = s.connect_client();
             say_in_pieces(s, *client, form.text, size);
-            const auto [wire, request] = s.request();
-            EXPECT_TRUE(has(request, "POST /api?a=1&b=%20 HTTP/1.1\r\n")) << form.what;
+            const auto [wire, request] = s.await_request();
+            EXPECT_TRUE(contains(request, "POST /api?a=1&b=%20 HTTP/1.1\r\n")) << form.what;
             const std::string headers = lower_case(request.substr(0, request.find("\r\n\r\n") + 2));
-            EXPECT_TRUE(has(headers, "\r\nx-call-id: 9b1f\r\n")) << form.what;
-            EXPECT_TRUE(has(headers, "\r\nidempotency-key: k7\r\n")) << form.what;
-            EXPECT_FALSE(has(headers, "\r\ntransfer-encoding:")) << form.what;
+            EXPECT_TRUE(contains(headers, "\r\nx-call-id: 9b1f\r\n")) << form.what;
+            EXPECT_TRUE(contains(headers, "\r\nidempotency-key: k7\r\n")) << form.what;
+            EXPECT_FALSE(contains(headers, "\r\ntransfer-encoding:")) << form.what;
             EXPECT_EQ(request.substr(request.find("\r\n\r\n") + 4), form.body) << form.what;
-            wire->say(ok());
-            s.until([&] { return has(client->in, "served"); });
-            EXPECT_TRUE(has(client->in, "HTTP/1.1 200 OK\r\n")) << form.what;
+            wire->send(ok_response());
+            s.run_until([&] { return contains(client->received, "served"); });
+            EXPECT_TRUE(contains(client->received, "HTTP/1.1 200 OK\r\n")) << form.what;
             settle(s);
-            EXPECT_TRUE(s.nothing_sent()) << form.what;
-            EXPECT_EQ(s.connections(), 1U) << form.what;
-            client->in.clear();
-            client->say(look());  // its end was found: the next request is read as such
-            s.request().first->say(ok());
-            EXPECT_EQ(status(s.answer(*client)), 200) << form.what;
+            EXPECT_TRUE(s.no_unread_requests()) << form.what;
+            EXPECT_EQ(s.upstream_connection_count(), 1U) << form.what;
+            client->received.clear();
+            client->send(idempotent_request());  // its end was found: the next request is read as such
+            s.await_request().first->send(ok_response());
+            EXPECT_EQ(status_code(s.await_response(*client)), 200) << form.what;
             s.host.reset();
         }
     }
@@ -110,7 +110,7 @@
         bool ends;
     };
     const std::vector<AnswerForm> forms = {
-        {"as on the page", ok(), false},
+        {"as on the page", ok_response(), false},
         {"small letters, no spaces", "HTTP/1.1 200 OK\r\ncontent-length:6\r\n\r\nserved", false},
         {"capitals, spaces and tabs", "HTTP/1.1 200 OK\r\nCONTENT-LENGTH: \t6 \t\r\n\r\nserved", false},
         {"no reason", "HTTP/1.1 200 \r\nContent-Length: 6\r\n\r\nserved", false},
@@ -122,20 +122,20 @@
         {"chunked in other letters",
          "HTTP/1.1 200 OK\r\ntransfer-encoding: CHUNKED\r\n\r\n6\r\nserved\r\n0\r\n\r\n", false},
         {"no length, up to the connection's end", "HTTP/1.1 200 OK\r\n\r\nserved", true},
-        {"behind two interim answers", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + ok(),
-         false},
+        {"behind two interim answers",
+         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + ok_response(), false},
     };
     for (const std::size_t size : {1, 3, 7}) {
         for (const auto& form : forms) {
-            Stage s(1);
+            HostHarness s(1);
             s.start();
-            const auto client = s.client();
-            client->say(once());
-            const auto wire = s.request().first;
+            const auto client = s.connect_client();
+            client->send(at_most_once_request());
+            const auto wire = s.await_request().first;
             say_in_pieces(s, *wire, form.text, size);
             if (form.ends) wire->close();
-            const auto answer = s.answer(*client);
-            EXPECT_EQ(status(answer), 200) << form.what;
+            const auto answer = s.await_response(*client);
+            EXPECT_EQ(status_code(answer), 200) << form.what;
             EXPECT_EQ(answer.substr(answer.find("\r\n\r\n") + 4), "served") << form.what;
             s.host.reset();
         }
@@ -146,13 +146,13 @@
     for (const std::string refusal :
          {"HTTP/1.1 503 Service Unavailable\r\nx-rejected:1\r\ncontent-length:0\r\n\r\n",
           "HTTP/1.1 504 \r\nX-REJECTED: \t1 \r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"}) {
-        Stage s;
+        HostHarness s;
         s.start();
-        const auto client = s.client();
-        client->say(once());
-        say_in_pieces(s, *s.request().first, refusal, 3);
-        s.request().first->say(ok());
-        EXPECT_EQ(status(s.answer(*client)), 200) << refusal;
+        const auto client = s.connect_client();
+        client->send(at_most_once_request());
+        say_in_pieces(s, *s.await_request().first, refusal, 3);
+        s.await_request().first->send(ok_response());
+        EXPECT_EQ(status_code(s.await_response(*client)), 200) << refusal;
         s.host.reset();
     }
 }
@@ -160,17 +160,17 @@
 // A reset is not the end of an answer that tells no length: it has failed, and it may have run.
 TEST(Pieces, AnAnswerWithoutLengthThatIsResetIsNoAnswer) {
     for (const bool unsafe : {true, false}) {
-        Stage s;
+        HostHarness s;
         s.start();
-        const auto client = s.client();
-        client->say(unsafe ? once() : look());
-        const auto wire = s.request().first;
+        const auto client = s.connect_client();
+        client->send(unsafe ? at_most_once_request() : idempotent_request());
+        const auto wire = s.await_request().first;
         say_in_pieces(s, *wire, "HTTP/1.1 200 OK\r\n\r\nserv", 7);
         wire->reset();
-        if (!unsafe) s.request().first->say(ok());
-        EXPECT_EQ(status(s.answer(*client)), unsafe ? 502 : 200);
+        if (!unsafe) s.await_request().first->send(ok_response());
+        EXPECT_EQ(status_code(s.await_response(*client)), unsafe ? 502 : 200);
         settle(s);
-        EXPECT_TRUE(s.nothing_sent());
+        EXPECT_TRUE(s.no_unread_requests());
         s.host.reset();
     }
 }
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -12,72 +12,72 @@
 // ---------------------------------------------------------------------------------------------- requests
 
 TEST(Serving, PassesRequestAndAnswerOnUnchanged) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto client = s.client();
-    client->say(
+    const auto client = s.connect_client();
+    client->send(
         "POST /api?a=1&b=%20 HTTP/1.1\r\nHost: api.internal\r\nX-Call-Id: 9b1f\r\nX-Call-Class: book it\r\n"
         "X-Budget-Ms: 5000\r\nIdempotency-Key: k7\r\nConnection: X-Hop\r\nX-Hop: 1\r\nContent-Length: "
         "5\r\n\r\na\0b\r\n"sv);
-    const auto [wire, request] = s.request();
-    EXPECT_TRUE(has(request, "POST /api?a=1&b=%20 HTTP/1.1\r\n"));
-    EXPECT_TRUE(has(request, "X-Call-Id: 9b1f\r\n"));
-    EXPECT_TRUE(has(request, "Idempotency-Key: k7\r\n"));
-    EXPECT_TRUE(has(request, "X-Budget-Ms: "));
-    EXPECT_FALSE(has(request, "X-Hop"));
+    const auto [wire, request] = s.await_request();
+    EXPECT_TRUE(contains(request, "POST /api?a=1&b=%20 HTTP/1.1\r\n"));
+    EXPECT_TRUE(contains(request, "X-Call-Id: 9b1f\r\n"));
+    EXPECT_TRUE(contains(request, "Idempotency-Key: k7\r\n"));
+    EXPECT_TRUE(contains(request, "X-Budget-Ms: "));
+    EXPECT_FALSE(contains(request, "X-Hop"));
     EXPECT_EQ(request.substr(request.size() - 5), std::string("a\0b\r\n", 5));
-    wire->say(ok("x\r\ny", "X-Load-Report: active=1,avg_ms=2\r\n"));
-    const auto answer = s.answer(*client);
-    EXPECT_EQ(status(answer), 200);
+    wire->send(ok_response("x\r\ny", "X-Load-Report: active=1,avg_ms=2\r\n"));
+    const auto answer = s.await_response(*client);
+    EXPECT_EQ(status_code(answer), 200);
     EXPECT_EQ(answer.substr(answer.size() - 4), "x\r\ny");
-    EXPECT_FALSE(has(answer, "X-Load-Report"));
-    EXPECT_FALSE(client->ended);
+    EXPECT_FALSE(contains(answer, "X-Load-Report"));
+    EXPECT_FALSE(client->peer_closed);
 }
 
 TEST(Serving, ReadyAnswersAtOnce) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto client = s.client();
-    client->say("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-    EXPECT_EQ(status(s.answer(*client)), 200);
+    const auto client = s.connect_client();
+    client->send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
 }
 
 // The answer leaves before the client gives up, and the attempt that stays silent is given up with it.
 TEST(Serving, AnswersBeforeTheClientGivesUp) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto client = s.client();
+    const auto client = s.connect_client();
     const auto sent = std::chrono::steady_clock::now();
-    client->say(once(150));
-    const auto [wire, request] = s.request();
-    EXPECT_EQ(status(s.answer(*client)), 502);
+    client->send(at_most_once_request(150));
+    const auto [wire, request] = s.await_request();
+    EXPECT_EQ(status_code(s.await_response(*client)), 502);
     EXPECT_GE(std::chrono::steady_clock::now() - sent, std::chrono::milliseconds(140));
-    s.until([&w = wire] { return w->ended; });
+    s.run_until([&w = wire] { return w->peer_closed; });
 }
 
 TEST(Serving, ClientThatLeavesEndsItsAttempt) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto client = s.client();
-    client->say(look());
-    const auto [wire, request] = s.request();
+    const auto client = s.connect_client();
+    client->send(idempotent_request());
+    const auto [wire, request] = s.await_request();
     client->close();
-    s.until([&w = wire] { return w->ended; });
-    EXPECT_EQ(s.connections(), 1U);
+    s.run_until([&w = wire] { return w->peer_closed; });
+    EXPECT_EQ(s.upstream_connection_count(), 1U);
 }
 
 // Two requests written together are answered one after the other.
 TEST(Serving, PipelinedRequestsAreTakenInTurn) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto client = s.client();
-    client->say(look(5000, "first") + look(5000, "second"));
+    const auto client = s.connect_client();
+    client->send(idempotent_request(5000, "first") + idempotent_request(5000, "second"));
     for (const char* id : {"first", "second"}) {
-        const auto [wire, request] = s.request();
-        EXPECT_TRUE(has(request, id));
-        EXPECT_TRUE(s.nothing_sent());
-        wire->say(ok(id));
-        EXPECT_TRUE(has(s.answer(*client), id));
+        const auto [wire, request] = s.await_request();
+        EXPECT_TRUE(contains(request, id));
+        EXPECT_TRUE(s.no_unread_requests());
+        wire->send(ok_response(id));
+        EXPECT_TRUE(contains(s.await_response(*client), id));
     }
 }
 
@@ -85,122 +85,122 @@
 
 // A connection is used again once it has rested: each of the first ones twice before there are many.
 TEST(Kept, ReusesAConnection) {
-    Stage s(1);
+    HostHarness s(1);
     s.start();
-    const auto client = s.client();
-    std::vector<std::shared_ptr<Wire>> used;
+    const auto client = s.connect_client();
+    std::vector<std::shared_ptr<PeerConnection>> used;
     const auto again = [&] {
-        client->say(look());
-        const auto wire = s.request().first;
+        client->send(idempotent_request());
+        const auto wire = s.await_request().first;
         const bool known = std::find(used.begin(), used.end(), wire) != used.end();
         used.push_back(wire);
-        wire->say(ok());
-        EXPECT_EQ(status(s.answer(*client)), 200);
+        wire->send(ok_response());
+        EXPECT_EQ(status_code(s.await_response(*client)), 200);
         return known;
     };
-    s.until(again);
-    EXPECT_LT(s.connections(), used.size());
-    EXPECT_FALSE(used.front()->ended);
+    s.run_until(again);
+    EXPECT_LT(s.upstream_connection_count(), used.size());
+    EXPECT_FALSE(used.front()->peer_closed);
 }
 
 TEST(Kept, HonoursConnectionClose) {
-    Stage s(1);
+    HostHarness s(1);
     s.start();
-    const auto client = s.client();
+    const auto client = s.connect_client();
     for (std::size_t i = 0; i < 2; ++i) {
-        client->say(look());
-        const auto wire = s.request().first;
-        wire->say(ok("served", "Connection: close\r\n"));
-        EXPECT_EQ(status(s.answer(*client)), 200);
-        s.until([&] { return wire->ended; });
-        EXPECT_EQ(s.connections(), i + 1);
+        client->send(idempotent_request());
+        const auto wire = s.await_request().first;
+        wire->send(ok_response("served", "Connection: close\r\n"));
+        EXPECT_EQ(status_code(s.await_response(*client)), 200);
+        s.run_until([&] { return wire->peer_closed; });
+        EXPECT_EQ(s.upstream_connection_count(), i + 1);
     }
 }
 
 // An end that has come in while a connection was kept is seen before it is used: an unsafe request that were
 // written to it would be lost.
 TEST(Kept, NoticesAnEndBeforeReuse) {
-    Stage s(1);
+    HostHarness s(1);
     s.start();
-    const auto client = s.client();
-    client->say(once());
-    const auto wire = s.request().first;
-    wire->say(ok());
-    EXPECT_EQ(status(s.answer(*client)), 200);
-    client->say(once());  // both are there before the host looks at either
+    const auto client = s.connect_client();
+    client->send(at_most_once_request());
+    const auto wire = s.await_request().first;
+    wire->send(ok_response());
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
+    client->send(at_most_once_request());  // both are there before the host looks at either
     wire->close();
-    s.request().first->say(ok());
-    EXPECT_EQ(status(s.answer(*client)), 200);
-    EXPECT_EQ(s.connections(), 2U);
+    s.await_request().first->send(ok_response());
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
+    EXPECT_EQ(s.upstream_connection_count(), 2U);
 }
 
 // Bytes that nobody asked for belong to no later request.
 TEST(Kept, DropsAConnectionThatSpeaksUnasked) {
-    Stage s(1);
+    HostHarness s(1);
     s.start();
-    const auto client = s.client();
-    client->say(look());
-    const auto wire = s.request().first;
-    wire->say(ok("mine") + ok("nobody's"));
-    EXPECT_TRUE(has(s.answer(*client), "mine"));
-    client->say(look());
-    s.request().first->say(ok("also mine"));
-    EXPECT_TRUE(has(s.answer(*client), "also mine"));
-    EXPECT_EQ(s.connections(), 2U);
+    const auto client = s.connect_client();
+    client->send(idempotent_request());
+    const auto wire = s.await_request().first;
+    wire->send(ok_response("mine") + ok_response("nobody's"));
+    EXPECT_TRUE(contains(s.await_response(*client), "mine"));
+    client->send(idempotent_request());
+    s.await_request().first->send(ok_response("also mine"));
+    EXPECT_TRUE(contains(s.await_response(*client), "also mine"));
+    EXPECT_EQ(s.upstream_connection_count(), 2U);
 }
 
 TEST(Kept, ClosesBeforeTheToldIdleLimit) {
-    Stage s(1);
+    HostHarness s(1);
     s.config["settings"]["limits"]["idle_close"] = 50.0;
     s.start();
-    const auto client = s.client();
-    client->say(look());
-    const auto wire = s.request().first;
-    wire->say(ok());
-    EXPECT_EQ(status(s.answer(*client)), 200);
-    s.until([&] { return wire->ended; });
+    const auto client = s.connect_client();
+    client->send(idempotent_request());
+    const auto wire = s.await_request().first;
+    wire->send(ok_response());
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
+    s.run_until([&] { return wire->peer_closed; });
 }
 
 // ---------------------------------------------------------------------------------------------- outcomes
 
 TEST(Outcomes, RefusedConnectionGoesOnElsewhere) {
-    Stage s;
+    HostHarness s;
     s.upstreams[0]->close();
     s.start();
-    const auto client = s.client();
+    const auto client = s.connect_client();
     for (int i = 0; i < 8; ++i) {
-        client->say(once());
-        s.request().first->say(ok());
-        EXPECT_EQ(status(s.answer(*client)), 200);
+        client->send(at_most_once_request());
+        s.await_request().first->send(ok_response());
+        EXPECT_EQ(status_code(s.await_response(*client)), 200);
     }
 }
 
 // A request that never ran is refused when it is given up, and the client told when to come back.
 TEST(Outcomes, RefusalTellsWhenToComeBack) {
     for (const bool heeded : {true, false}) {
-        Stage s;
+        HostHarness s;
         for (const auto& u : s.upstreams) u->close();
         s.config["settings"]["limits"]["retry_after"] = heeded;
         s.config["settings"]["limits"]["max_retry_after"] = 400.0;
         s.start();
-        const auto client = s.client();
-        client->say(once(150));
-        const auto answer = s.answer(*client);
-        EXPECT_EQ(status(answer), 503);
-        EXPECT_EQ(has(answer, "Retry-After: 0.050\r\n"), heeded) << answer;
+        const auto client = s.connect_client();
+        client->send(at_most_once_request(150));
+        const auto answer = s.await_response(*client);
+        EXPECT_EQ(status_code(answer), 503);
+        EXPECT_EQ(contains(answer, "Retry-After: 0.050\r\n"), heeded) << answer;
     }
 }
 
 // What has been written whole may have run: an unsafe request is neither sent again nor refused.
 TEST(Outcomes, ResetAfterTheLastByteIsNotSentAgain) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto client = s.client();
-    client->say(once());
-    s.request().first->reset();
-    EXPECT_EQ(status(s.answer(*client)), 502);
-    EXPECT_TRUE(s.nothing_sent());
-    EXPECT_EQ(s.connections(), 1U);
+    const auto client = s.connect_client();
+    client->send(at_most_once_request());
+    s.await_request().first->reset();
+    EXPECT_EQ(status_code(s.await_response(*client)), 502);
+    EXPECT_TRUE(s.no_unread_requests());
+    EXPECT_EQ(s.upstream_connection_count(), 1U);
 }
 
 // The outcome of one attempt whose answer is `said`, after which the connection ends if it is `cut`.
@@ -211,7 +211,7 @@
         void on_connection(net::AttemptKey) override {}
         void on_probe_result(ProbeResult) override {}
     };
-    Stage s(1);
+    HostHarness s(1);
     Sink sink;
     const net::Clock clock;
     net::Upstreams upstreams(s.loop, clock, {std::chrono::seconds(5), {}, 8}, {}, sink);
@@ -219,10 +219,10 @@
     net::HttpRequest request(boost::beast::http::verb::get, "/api", 11);
     const Time expires = clock.now() + std::chrono::seconds(15);
     upstreams.send({1, 0}, 1, std::move(request), expires, expires);
-    const auto wire = s.request().first;
-    wire->say(said);
+    const auto wire = s.await_request().first;
+    wire->send(said);
     if (cut) wire->close();
-    s.until([&] { return sink.outcome.has_value(); });
+    s.run_until([&] { return sink.outcome.has_value(); });
     return sink.outcome.value_or(Outcome::moot);
 }
 
@@ -248,54 +248,55 @@
     for (const std::string bad : {"nonsense\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
                                   "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n",
                                   "HTTP/1.1 101 Switching Protocols\r\n\r\n"}) {
-        Stage s;
+        HostHarness s;
         s.start();
-        const auto client = s.client();
-        client->say(once());
-        const auto wire = s.request().first;
-        wire->say(bad);
-        EXPECT_EQ(status(s.answer(*client)), 502) << bad;
-        s.until([&] { return wire->ended; });
-        EXPECT_EQ(s.connections(), 1U);
+        const auto client = s.connect_client();
+        client->send(at_most_once_request());
+        const auto wire = s.await_request().first;
+        wire->send(bad);
+        EXPECT_EQ(status_code(s.await_response(*client)), 502) << bad;
+        s.run_until([&] { return wire->peer_closed; });
+        EXPECT_EQ(s.upstream_connection_count(), 1U);
     }
 }
 
 TEST(Outcomes, AnswerCutShortIsNoAnswer) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto client = s.client();
-    client->say(once());
-    const auto wire = s.request().first;
-    wire->say("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+    const auto client = s.connect_client();
+    client->send(at_most_once_request());
+    const auto wire = s.await_request().first;
+    wire->send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
     wire->close();
-    EXPECT_EQ(status(s.answer(*client)), 502);
+    EXPECT_EQ(status_code(s.await_response(*client)), 502);
 }
 
 TEST(Outcomes, OnlyAMarkedRejectionHasNotRun) {
     for (const bool marked : {true, false}) {
-        Stage s;
+        HostHarness s;
         s.start();
-        const auto client = s.client();
-        client->say(once());
-        s.request().first->say("HTTP/1.1 503 Service Unavailable\r\n" +
-                               std::string(marked ? "X-Rejected: 1\r\n" : "") + "Content-Length: 0\r\n\r\n");
+        const auto client = s.connect_client();
+        client->send(at_most_once_request());
+        s.await_request().first->send("HTTP/1.1 503 Service Unavailable\r\n" +
+                                      std::string(marked ? "X-Rejected: 1\r\n" : "") +
+                                      "Content-Length: 0\r\n\r\n");
         if (marked) {
-            s.request().first->say(ok());  // it goes on to the other upstream
-            EXPECT_EQ(status(s.answer(*client)), 200);
+            s.await_request().first->send(ok_response());  // it goes on to the other upstream
+            EXPECT_EQ(status_code(s.await_response(*client)), 200);
         } else {
-            EXPECT_EQ(status(s.answer(*client)), 502);
-            EXPECT_TRUE(s.nothing_sent());
+            EXPECT_EQ(status_code(s.await_response(*client)), 502);
+            EXPECT_TRUE(s.no_unread_requests());
         }
     }
 }
 
 TEST(Outcomes, InterimAnswersAreSkipped) {
-    Stage s(1);
+    HostHarness s(1);
     s.start();
-    const auto client = s.client();
-    client->say(look());
-    s.request().first->say("HTTP/1.1 100 Continue\r\n\r\n" + ok("final"));
-    EXPECT_TRUE(has(s.answer(*client), "final"));
+    const auto client = s.connect_client();
+    client->send(idempotent_request());
+    s.await_request().first->send("HTTP/1.1 100 Continue\r\n\r\n" + ok_response("final"));
+    EXPECT_TRUE(contains(s.await_response(*client), "final"));
 }
 
 TEST(Outcomes, LoadReportsThatDoNotParseAreDropped) {
@@ -310,54 +311,54 @@
 
 // An upstream that was put out is asked how it is, again after a bad answer, and a good one brings it back.
 TEST(Probes, BringAnUpstreamBack) {
-    Stage s;
+    HostHarness s;
     s.config["settings"]["limits"]["may_probe"] = true;
     s.start();
-    const auto client = s.client();
-    client->say(look());
+    const auto client = s.connect_client();
+    client->send(idempotent_request());
     int probes = 0;
     bool back = false;
     const auto serve = [&](Listener& upstream, bool sick) {
-        for (const auto& wire : upstream.wires) {
-            const auto message = wire->take();
+        for (const auto& wire : upstream.connections) {
+            const auto message = wire->take_message();
             if (message.empty()) continue;
-            if (has(message, "GET /health HTTP/1.1\r\n")) {
+            if (contains(message, "GET /health HTTP/1.1\r\n")) {
                 EXPECT_TRUE(sick);
-                EXPECT_FALSE(has(message, "X-Call-Id"));
-                wire->say(++probes == 1 ? "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-                                        : ok());
+                EXPECT_FALSE(contains(message, "X-Call-Id"));
+                wire->send(++probes == 1 ? "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+                                         : ok_response());
             } else if (sick && probes < 2) {
-                wire->say("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
+                wire->send("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
             } else {
                 back = back || sick;
-                wire->say(ok());
+                wire->send(ok_response());
             }
         }
     };
-    s.until([&] {
+    s.run_until([&] {
         serve(*s.upstreams[0], true);
         serve(*s.upstreams[1], false);
-        if (!client->take().empty()) client->say(look());
+        if (!client->take_message().empty()) client->send(idempotent_request());
         return back;
     });
     EXPECT_EQ(probes, 2);
 }
 
 TEST(Probes, BringTheLoadReportWhereProbesCarryIt) {
-    Stage s(1);
+    HostHarness s(1);
     s.config["settings"]["limits"]["may_probe"] = true;
     s.config["settings"]["load_report"]["how"] = "on_probe";
     s.start();
-    const auto client = s.client();
-    client->say(look(100));
-    s.until([&] {
-        for (const auto& wire : s.upstreams[0]->wires) {
-            const auto message = wire->take();
-            if (has(message, "GET /status/load HTTP/1.1\r\n")) return true;
+    const auto client = s.connect_client();
+    client->send(idempotent_request(100));
+    s.run_until([&] {
+        for (const auto& wire : s.upstreams[0]->connections) {
+            const auto message = wire->take_message();
+            if (contains(message, "GET /status/load HTTP/1.1\r\n")) return true;
             if (!message.empty())
-                wire->say("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
+                wire->send("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
         }
-        if (!client->take().empty()) client->say(look(100));
+        if (!client->take_message().empty()) client->send(idempotent_request(100));
         return false;
     });
 }
@@ -389,36 +390,36 @@
         {"GET /api HTTP/1.1\r\nX-Long: " + std::string(20000, 'x'), 400, false},
     };
     for (const auto& c : cases) {
-        Stage s(1);
+        HostHarness s(1);
         s.start();
-        const auto client = s.client();
-        client->say(c.text);
-        EXPECT_EQ(status(s.answer(*client)), c.status) << c.text.substr(0, 200);
-        EXPECT_EQ(s.connections(), 0U);
+        const auto client = s.connect_client();
+        client->send(c.text);
+        EXPECT_EQ(status_code(s.await_response(*client)), c.status) << c.text.substr(0, 200);
+        EXPECT_EQ(s.upstream_connection_count(), 0U);
         if (c.framed) {
-            client->say(look());
-            s.request().first->say(ok());
-            EXPECT_EQ(status(s.answer(*client)), 200);
+            client->send(idempotent_request());
+            s.await_request().first->send(ok_response());
+            EXPECT_EQ(status_code(s.await_response(*client)), 200);
         } else {
-            s.until([&] { return client->ended; });
+            s.run_until([&] { return client->peer_closed; });
         }
     }
 }
 
 // One that connects and sends no whole request is let go; a client between two requests is not.
 TEST(BadInput, PeersThatSendNoRequestAreLetGo) {
-    Stage s(1);
+    HostHarness s(1);
     s.start();
-    const auto kept = s.client();
-    kept->say(look());
-    s.request().first->say(ok());
-    EXPECT_EQ(status(s.answer(*kept)), 200);
-    const auto silent = s.client();
-    const auto halting = s.client();
-    halting->say(once().substr(0, 30));
-    s.until([&] { return silent->ended && halting->ended; });
-    EXPECT_FALSE(kept->ended);
-    EXPECT_EQ(s.connections(), 1U);
+    const auto kept = s.connect_client();
+    kept->send(idempotent_request());
+    s.await_request().first->send(ok_response());
+    EXPECT_EQ(status_code(s.await_response(*kept)), 200);
+    const auto silent = s.connect_client();
+    const auto halting = s.connect_client();
+    halting->send(at_most_once_request().substr(0, 30));
+    s.run_until([&] { return silent->peer_closed && halting->peer_closed; });
+    EXPECT_FALSE(kept->peer_closed);
+    EXPECT_EQ(s.upstream_connection_count(), 1U);
 }
 
 // ------------------------------------------------------------------------------------------------- limits
@@ -426,47 +427,47 @@
 // At the cap a client that has been idle for 2 s makes room for a new one; one that waits for its answer
 // never does.
 TEST(Limits, IdleClientsMakeRoom) {
-    Stage s(1);
+    HostHarness s(1);
     s.config["limits"]["sockets"] = 36;  // two of them for clients
     s.start();
-    const auto busy = s.client();
-    busy->say(once());  // sent once only: its attempt is not given up early
-    const auto wire = s.request().first;
-    const auto idle = s.client();
+    const auto busy = s.connect_client();
+    busy->send(at_most_once_request());  // sent once only: its attempt is not given up early
+    const auto wire = s.await_request().first;
+    const auto idle = s.connect_client();
     const auto idle_not_before = std::chrono::steady_clock::now();
-    idle->say(ready());
-    EXPECT_EQ(status(s.answer(*idle)), 200);
-    const auto third = s.persistent_client(ready());
-    EXPECT_EQ(status(third.second), 200);
-    s.until([&] { return idle->ended; });
-    EXPECT_GE(idle->ended_at - idle_not_before, std::chrono::seconds(2));
-    EXPECT_FALSE(busy->ended);
-    wire->say(ok());
-    EXPECT_EQ(status(s.answer(*busy)), 200);
+    idle->send(ready_request());
+    EXPECT_EQ(status_code(s.await_response(*idle)), 200);
+    const auto third = s.send_with_reconnects(ready_request());
+    EXPECT_EQ(status_code(third.second), 200);
+    s.run_until([&] { return idle->peer_closed; });
+    EXPECT_GE(idle->peer_closed_at - idle_not_before, std::chrono::seconds(2));
+    EXPECT_FALSE(busy->peer_closed);
+    wire->send(ok_response());
+    EXPECT_EQ(status_code(s.await_response(*busy)), 200);
 }
 
 // A connection that had to wait because all were busy is taken as soon as one of them closes, and the one
 // that is idle again stays open.
 TEST(Limits, ANewClientWaitsOnlyUntilOneCloses) {
-    Stage s(1);
+    HostHarness s(1);
     s.config["limits"]["sockets"] = 36;  // two of them for clients
     s.start();
-    const auto first = s.client(), second = s.client();
-    first->say(look(15000, "first"));
-    second->say(look(15000, "second"));
-    const auto served = s.request();
-    const auto held = s.request();
-    const auto third = s.client();
-    third->say(ready());
+    const auto first = s.connect_client(), second = s.connect_client();
+    first->send(idempotent_request(15000, "first"));
+    second->send(idempotent_request(15000, "second"));
+    const auto served = s.await_request();
+    const auto held = s.await_request();
+    const auto third = s.connect_client();
+    third->send(ready_request());
     s.loop.poll();  // it has come, and there is no room
-    served.first->say(ok());
-    s.until([&] { return !first->in.empty() || !second->in.empty(); });
-    EXPECT_TRUE(third->in.empty());
-    const auto& idle = !first->in.empty() ? first : second;
+    served.first->send(ok_response());
+    s.run_until([&] { return !first->received.empty() || !second->received.empty(); });
+    EXPECT_TRUE(third->received.empty());
+    const auto& idle = !first->received.empty() ? first : second;
     const auto& busy = idle == first ? second : first;
     busy->close();
-    EXPECT_EQ(status(s.answer(*third)), 200);
-    EXPECT_FALSE(idle->ended);
+    EXPECT_EQ(status_code(s.await_response(*third)), 200);
+    EXPECT_FALSE(idle->peer_closed);
 }
 
 // ---------------------------------------------------------------------------------------------- readiness
@@ -475,17 +476,17 @@
 TEST(Ready, IsToldAtOnceWhateverDiscoveryDoes) {
     for (const std::string discovery : {"down", "silent", "refusing"}) {
         for (const bool known : {false, true}) {
-            Stage s;
+            HostHarness s;
             if (!known) s.config["known"]["hosts"] = json::array();
             if (discovery == "down") s.discovery.close();
             s.start();
-            const auto client = s.client();
-            client->say("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+            const auto client = s.connect_client();
+            client->send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
             if (discovery == "refusing") {
-                s.until([&] { return !s.discovery.wires.empty(); });
-                s.discovery.wires[0]->reset();
+                s.run_until([&] { return !s.discovery.connections.empty(); });
+                s.discovery.connections[0]->reset();
             }
-            EXPECT_EQ(status(s.answer(*client)), 200) << discovery << known;
+            EXPECT_EQ(status_code(s.await_response(*client)), 200) << discovery << known;
             s.host.reset();
         }
     }
@@ -496,48 +497,48 @@
 // After SIGTERM requests are still taken for a while, on old connections and on new ones; then what is held
 // is answered, with the connection's end told, and the loop ends.
 TEST(Drain, ServesWhatComesAndThenEnds) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto idle = s.client();
-    const auto held = s.client();
-    idle->say("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-    EXPECT_EQ(status(s.answer(*idle)), 200);
-    held->say(once());
-    const auto wire = s.request().first;
+    const auto idle = s.connect_client();
+    const auto held = s.connect_client();
+    idle->send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+    EXPECT_EQ(status_code(s.await_response(*idle)), 200);
+    held->send(at_most_once_request());
+    const auto wire = s.await_request().first;
     s.host->drain();
-    const auto late = s.client();
-    late->say(once());
-    s.request().first->say(ok("late"));
-    EXPECT_TRUE(has(s.answer(*late), "late"));
-    s.until([&] { return idle->ended; });
-    wire->say(ok("held"));
-    const auto answer = s.answer(*held);
-    EXPECT_TRUE(has(answer, "held"));
-    EXPECT_TRUE(has(answer, "Connection: close\r\n"));
-    s.until([&] { return held->ended; });
+    const auto late = s.connect_client();
+    late->send(at_most_once_request());
+    s.await_request().first->send(ok_response("late"));
+    EXPECT_TRUE(contains(s.await_response(*late), "late"));
+    s.run_until([&] { return idle->peer_closed; });
+    wire->send(ok_response("held"));
+    const auto answer = s.await_response(*held);
+    EXPECT_TRUE(contains(answer, "held"));
+    EXPECT_TRUE(contains(answer, "Connection: close\r\n"));
+    s.run_until([&] { return held->peer_closed; });
     held->close();
-    s.until([&] { return s.host->drained(); });
+    s.run_until([&] { return s.host->drained(); });
 }
 
 // A request that is only half here when idle connections are closed is still taken and answered.
 TEST(Drain, WaitsForARequestThatIsComing) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto idle = s.client();
-    const auto client = s.client();
-    idle->say("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-    EXPECT_EQ(status(s.answer(*idle)), 200);
-    const auto request = once();
-    client->say(request.substr(0, 30));
+    const auto idle = s.connect_client();
+    const auto client = s.connect_client();
+    idle->send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+    EXPECT_EQ(status_code(s.await_response(*idle)), 200);
+    const auto request = at_most_once_request();
+    client->send(request.substr(0, 30));
     s.host->drain();
-    s.until([&] { return idle->ended; });
+    s.run_until([&] { return idle->peer_closed; });
     EXPECT_FALSE(s.host->drained());
-    client->say(request.substr(30));
-    s.request().first->say(ok("in time"));
-    EXPECT_TRUE(has(s.answer(*client), "in time"));
-    s.until([&] { return client->ended; });
+    client->send(request.substr(30));
+    s.await_request().first->send(ok_response("in time"));
+    EXPECT_TRUE(contains(s.await_response(*client), "in time"));
+    s.run_until([&] { return client->peer_closed; });
     client->close();
-    s.until([&] { return s.host->drained(); });
+    s.run_until([&] { return s.host->drained(); });
 }
 
 // ----------------------------------------------------------------------------------------------
@@ -553,7 +554,7 @@
 }
 
 TEST(Config, NamesStayAsMessagesHoldThem) {
-    Stage s;
+    HostHarness s;
     const auto config = net::parse_config(s.config.dump());
     EXPECT_EQ(config.settings.classes[1].name, "book it");
     EXPECT_EQ(config.known.version, 7U);
@@ -564,7 +565,7 @@
 // A customer may have no zones, have upstreams in more than it names, or wait no longer than its aim.
 TEST(Config, UnusualSettingsAreServed) {
     for (const std::string what : {"no zones", "no zone at all", "another zone", "aim beyond deadline"}) {
-        Stage s(1);
+        HostHarness s(1);
         json& settings = s.config["settings"];
         json& host = s.config["known"]["hosts"][0];
         if (what == "no zones") settings["zones"] = json::array();
@@ -572,17 +573,17 @@
         if (what == "another zone") host["site"] = "beyond";
         if (what == "aim beyond deadline") settings["services"][0]["hard_limit"] = 100.0;
         s.start();
-        const auto client = s.client();
-        client->say(look());
-        s.request().first->say(ok());
-        EXPECT_EQ(status(s.answer(*client)), 200) << what;
+        const auto client = s.connect_client();
+        client->send(idempotent_request());
+        s.await_request().first->send(ok_response());
+        EXPECT_EQ(status_code(s.await_response(*client)), 200) << what;
         s.host.reset();
     }
 }
 
 TEST(Config, ZonesThatAreNotNamedAreToldApart) {
-    Stage s(3);
-    json known = s.list(7, true);
+    HostHarness s(3);
+    json known = s.list_json(7, true);
     for (int i = 0; i < 3; ++i) known["hosts"][i]["site"] = i == 0 ? "x" : "y";
     const auto list = net::parse_list(known.dump(), {{"here", "there"}, {}});
     EXPECT_NE(list.upstreams[0].entry.zone, list.upstreams[1].entry.zone);
@@ -591,7 +592,7 @@
 }
 
 TEST(Config, WhatIsMissingOrBrokenIsAnError) {
-    Stage s;
+    HostHarness s;
     EXPECT_ANY_THROW(net::parse_config("{"));
     EXPECT_ANY_THROW(net::parse_config("[]"));
     for (const char* key : {"settings", "listen", "discovery", "seed"}) {
--- a/tests/peers.h
+++ b/tests/peers.h
@@ -1,5 +1,5 @@
-// Scripted peers on loopback round a Host: clients, upstreams and discovery, all in one loop and one thread.
-// Tests wait for what happens, never for time to pass.
+// Test harness for a Host: scripted clients, upstreams and a discovery server on loopback sockets, all in one
+// event loop and one thread. Tests wait until a condition holds, never for a fixed time.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -26,32 +26,32 @@
 
 inline tcp::endpoint loopback(unsigned short port = 0) { return {asio::ip::address_v4::loopback(), port}; }
 
-inline std::string text_of(const tcp::endpoint& e) {
-    return e.address().to_string() + ":" + std::to_string(e.port());
+inline std::string endpoint_text(const tcp::endpoint& endpoint) {
+    return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
-// One end of a connection: keeps what has come and whether the other side has ended.
-class Wire : public std::enable_shared_from_this<Wire> {
+// The test's end of a TCP connection. Buffers what it receives and records when the peer closes or resets.
+class PeerConnection : public std::enable_shared_from_this<PeerConnection> {
 public:
-    explicit Wire(tcp::socket socket) : socket_(std::move(socket)) {
+    explicit PeerConnection(tcp::socket socket) : socket_(std::move(socket)) {
         boost::system::error_code ignored;
-        socket_.set_option(tcp::no_delay(true), ignored);  // what is said in pieces leaves in pieces
+        socket_.set_option(tcp::no_delay(true), ignored);  // separate writes leave as separate segments
     }
 
     void start() {
-        socket_.async_read_some(asio::buffer(piece_),
-                                [self = shared_from_this()](boost::system::error_code error, auto got) {
-                                    self->in.append(self->piece_, got);
-                                    if (error) self->end();
+        socket_.async_read_some(asio::buffer(read_buffer_),
+                                [self = shared_from_this()](boost::system::error_code error, auto size) {
+                                    self->received.append(self->read_buffer_, size);
+                                    if (error) self->on_peer_closed();
                                     if (!error) self->start();
                                 });
     }
-    void say(std::string_view text) {
+    void send(std::string_view text) {
         boost::system::error_code ignored;
         asio::write(socket_, asio::buffer(text.data(), text.size()), ignored);
     }
-    // How many of the bytes that were said have not yet reached the other side's socket.
-    int undelivered() const {
+    // Returns how many of the sent bytes the peer's socket has not acknowledged yet.
+    int undelivered_bytes() const {
         int bytes = 0;
         EXPECT_EQ(::ioctl(const_cast<tcp::socket&>(socket_).native_handle(), SIOCOUTQ, &bytes), 0);
         return bytes;
@@ -61,41 +61,44 @@
         socket_.set_option(asio::socket_base::linger(true, 0));
         socket_.close();
     }
-    // Takes one whole message out of what has come, if there is one.
-    std::string take() {
-        const auto head = in.find("\r\n\r\n");
+    // Removes the first complete HTTP message from `received` and returns it; empty if there is none.
+    std::string take_message() {
+        const auto head = received.find("\r\n\r\n");
         if (head == std::string::npos) return {};
         std::size_t length = 0;
-        if (const auto at = in.find("Content-Length: "); at < head) length = std::stoul(in.substr(at + 16));
-        if (in.size() < head + 4 + length) return {};
-        const std::string message = in.substr(0, head + 4 + length);
-        in.erase(0, message.size());
+        if (const auto at = received.find("Content-Length: "); at < head)
+            length = std::stoul(received.substr(at + 16));
+        if (received.size() < head + 4 + length) return {};
+        const std::string message = received.substr(0, head + 4 + length);
+        received.erase(0, message.size());
         return message;
     }
 
-    std::string in;
-    bool ended = false;
-    std::chrono::steady_clock::time_point ended_at{};  // once it has ended
+    std::string received;  // without the messages already taken
+    bool peer_closed = false;
+    std::chrono::steady_clock::time_point peer_closed_at{};  // set once `peer_closed` is true
 
 private:
-    void end() {
-        ended = true;
-        ended_at = std::chrono::steady_clock::now();
+    void on_peer_closed() {
+        peer_closed = true;
+        peer_closed_at = std::chrono::steady_clock::now();
     }
 
     tcp::socket socket_;
-    char piece_[4096];
+    char read_buffer_[4096];
 };
 
+// A server socket on a loopback port; keeps the connections that it accepts.
 class Listener {
 public:
-    // Connections to a listener of which the address is only reserved are refused until it listens.
-    enum class Begin { listening, reserved };
+    // A reserved listener is bound to its port but refuses connections until listen() is called.
+    enum class InitialState { listening, reserved };
 
-    explicit Listener(asio::io_context& loop, Begin begin = Begin::listening) : acceptor_(loop) {
+    explicit Listener(asio::io_context& loop, InitialState state = InitialState::listening)
+        : acceptor_(loop) {
         acceptor_.open(tcp::v4());
         acceptor_.bind(loopback());
-        if (begin == Begin::listening) listen();
+        if (state == InitialState::listening) listen();
     }
     void listen() {
         acceptor_.listen();
@@ -104,37 +107,38 @@
     tcp::endpoint address() const { return acceptor_.local_endpoint(); }
     void close() { acceptor_.close(); }
 
-    std::vector<std::shared_ptr<Wire>> wires;  // in the order in which they came
+    std::vector<std::shared_ptr<PeerConnection>> connections;  // in the order of acceptance
 
 private:
     void accept() {
         acceptor_.async_accept([this](boost::system::error_code error, tcp::socket socket) {
             if (error) return;
-            wires.push_back(std::make_shared<Wire>(std::move(socket)));
-            wires.back()->start();
+            connections.push_back(std::make_shared<PeerConnection>(std::move(socket)));
+            connections.back()->start();
             accept();
         });
     }
     tcp::acceptor acceptor_;
 };
 
-inline json test_class(const char* name, const char* effect, double deadline) {
+// Returns the settings of one request class; `deadline` is in milliseconds.
+inline json class_json(const char* name, const char* effect, double deadline) {
     return {{"name", name},      {"aim", 150.0},    {"hard_limit", deadline},
             {"effect", effect},  {"worth", 1.0},    {"stream", false},
             {"late_worth", 0.5}, {"group", "zone"}, {"window", 1500.0}};
 }
 
-// A host between its peers.
-class Stage {
+// A Host with scripted upstreams and a discovery server. A test may edit `config` before it calls start().
+class HostHarness {
 public:
-    explicit Stage(int upstreams = 2) : discovery(loop) {
+    explicit HostHarness(int upstreams = 2) : discovery(loop) {
         for (int i = 0; i < upstreams; ++i) this->upstreams.push_back(std::make_unique<Listener>(loop));
         config = {{"name", "n0"},
                   {"listen", "127.0.0.1:0"},
-                  {"discovery", text_of(discovery.address())},
+                  {"discovery", endpoint_text(discovery.address())},
                   {"seed", "8c1f30d27a5be964"},
                   {"limits", {{"sockets", 1024}}},
-                  {"known", list(7, true)}};
+                  {"known", list_json(7, true)}};
         config["settings"] = {
             {"rank", 0},
             {"siblings", 1},
@@ -144,8 +148,8 @@
             {"tick", 1.0},
             {"registry_mode", "ask"},
             {"services",
-             {test_class("look", "idempotent", 5000), test_class("book it", "deduplicated", 5000),
-              test_class("once", "at_most_once", 5000)}},
+             {class_json("look", "idempotent", 5000), class_json("book it", "deduplicated", 5000),
+              class_json("once", "at_most_once", 5000)}},
             {"tenants", json::array()},
             {"limits",
              {{"cancel", true},
@@ -157,11 +161,12 @@
             {"invariants", {{"ask_within", 100.0}, {"drain_grace", 2000.0}, {"answer_slack", 5.0}}},
         };
     }
-    ~Stage() { host.reset(); }
+    ~HostHarness() { host.reset(); }
 
-    json upstream(std::size_t i, const char* health = "active") {
+    // Returns the entry that discovery's lists hold for the upstream at this index.
+    json upstream_json(std::size_t i, const char* health = "active") {
         return {{"host", "s-" + std::to_string(i)},
-                {"dial", text_of(upstreams[i]->address())},
+                {"dial", endpoint_text(upstreams[i]->address())},
                 {"site", "here"},
                 {"class", "full node"},
                 {"block", 1},
@@ -169,83 +174,89 @@
                 {"share", 1.0},
                 {"born_ms", 0}};
     }
-    json list(int version, bool whole) {
+    // Returns a list that holds all upstreams: a snapshot if `whole`, else a delta.
+    json list_json(int version, bool whole) {
         json hosts = json::array();
-        for (std::size_t i = 0; i < upstreams.size(); ++i) hosts.push_back(upstream(i));
+        for (std::size_t i = 0; i < upstreams.size(); ++i) hosts.push_back(upstream_json(i));
         return {{"seq", version}, {"whole", whole}, {"hosts", hosts}};
     }
 
     void start() { host = std::make_unique<net::Host>(loop, net::parse_config(config.dump())); }
 
-    void until(const std::function<bool()>& holds) {
+    // Runs the event loop until the condition holds. Fails the test after 20 s.
+    void run_until(const std::function<bool()>& condition) {
         const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-        while (!holds()) {
-            ASSERT_LT(std::chrono::steady_clock::now(), limit) << "waited in vain";
+        while (!condition()) {
+            ASSERT_LT(std::chrono::steady_clock::now(), limit) << "timed out waiting for the condition";
             loop.restart();
             loop.run_one_for(std::chrono::milliseconds(50));
         }
     }
 
-    std::shared_ptr<Wire> client() {
+    // Opens a client connection to the host.
+    std::shared_ptr<PeerConnection> connect_client() {
         tcp::socket socket(loop);
         socket.connect(host->address());
-        auto wire = std::make_shared<Wire>(std::move(socket));
-        wire->start();
-        return wire;
+        auto connection = std::make_shared<PeerConnection>(std::move(socket));
+        connection->start();
+        return connection;
     }
-    std::string answer(Wire& wire) {
+    // Waits for a response and returns it; empty if the host closes the connection without one.
+    std::string await_response(PeerConnection& connection) {
         std::string message;
-        until([&] { return !(message = wire.take()).empty() || wire.ended; });
+        run_until([&] { return !(message = connection.take_message()).empty() || connection.peer_closed; });
         return message;
     }
-    // A client that comes again whenever its connection is shut without an answer: its last connection, and
-    // the answer on it.
-    std::pair<std::shared_ptr<Wire>, std::string> persistent_client(std::string_view request) {
-        std::shared_ptr<Wire> wire;
+    // Sends the request on a new connection, and again on another whenever the host closes the connection
+    // without a response. Returns the last connection and the response on it.
+    std::pair<std::shared_ptr<PeerConnection>, std::string> send_with_reconnects(std::string_view request) {
+        std::shared_ptr<PeerConnection> connection;
         std::string message;
-        until([&] {
-            if (!wire || wire->ended) {
-                wire = client();
-                wire->say(request);
+        run_until([&] {
+            if (!connection || connection->peer_closed) {
+                connection = connect_client();
+                connection->send(request);
             }
-            return !(message = wire->take()).empty();
+            return !(message = connection->take_message()).empty();
         });
-        return {wire, message};
+        return {connection, message};
     }
-    // The next request at any upstream, and the connection that it came on.
-    std::pair<std::shared_ptr<Wire>, std::string> request() {
-        std::pair<std::shared_ptr<Wire>, std::string> got;
-        until([&] {
+    // Waits for the next request at any upstream. Returns the connection that carries it, and the request.
+    std::pair<std::shared_ptr<PeerConnection>, std::string> await_request() {
+        std::pair<std::shared_ptr<PeerConnection>, std::string> request;
+        run_until([&] {
             for (const auto& u : upstreams) {
-                for (const auto& wire : u->wires) {
-                    if (auto message = wire->take(); !message.empty()) {
-                        got = {wire, std::move(message)};
+                for (const auto& connection : u->connections) {
+                    if (auto message = connection->take_message(); !message.empty()) {
+                        request = {connection, std::move(message)};
                         return true;
                     }
                 }
             }
             return false;
         });
-        return got;
+        return request;
     }
-    std::size_t connections() const {
-        std::size_t n = 0;
-        for (const auto& u : upstreams) n += u->wires.size();
-        return n;
+    // Returns how many connections the upstreams have accepted, open or closed.
+    std::size_t upstream_connection_count() const {
+        std::size_t count = 0;
+        for (const auto& u : upstreams) count += u->connections.size();
+        return count;
     }
-    // Has the host ended every connection to an upstream?
-    bool all_ended() const {
+    // Returns whether the host has closed every connection to an upstream.
+    bool all_upstream_connections_closed() const {
         for (const auto& u : upstreams) {
-            for (const auto& wire : u->wires) {
-                if (!wire->ended) return false;
+            for (const auto& connection : u->connections) {
+                if (!connection->peer_closed) return false;
             }
         }
         return true;
     }
-    bool nothing_sent() const {
+    // Returns whether the upstreams hold no bytes that the test has not taken.
+    bool no_unread_requests() const {
         for (const auto& u : upstreams) {
-            for (const auto& wire : u->wires) {
-                if (!wire->in.empty()) return false;
+            for (const auto& connection : u->connections) {
+                if (!connection->received.empty()) return false;
             }
         }
         return true;
@@ -258,31 +269,35 @@
     std::unique_ptr<net::Host> host;
 };
 
-inline std::string ready() { return "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"; }
-inline std::string look(int budget_ms = 5000, const char* id = "a1") {
+inline std::string ready_request() { return "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"; }
+// A request of the class "look", which is safe to repeat.
+inline std::string idempotent_request(int budget_ms = 5000, const char* id = "a1") {
     return "GET /api?q=1 HTTP/1.1\r\nHost: api.internal\r\nX-Call-Id: " + std::string(id) +
            "\r\nX-Call-Class: look\r\nX-Budget-Ms: " + std::to_string(budget_ms) + "\r\n\r\n";
 }
-inline std::string once(int budget_ms = 5000, std::string_view body = "body") {
+// A request of the class "once", which must never run twice.
+inline std::string at_most_once_request(int budget_ms = 5000, std::string_view body = "body") {
     return "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Call-Id: b2\r\nX-Call-Class: "
            "once\r\nX-Budget-Ms: " +
            std::to_string(budget_ms) + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
            std::string(body);
 }
-inline std::string book(int budget_ms = 5000) {
+// A request of the class "book it", whose repeats the upstreams drop.
+inline std::string deduplicated_request(int budget_ms = 5000) {
     return "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Call-Id: c3\r\nX-Call-Class: book it\r\n"
            "Idempotency-Key: k1\r\nX-Budget-Ms: " +
            std::to_string(budget_ms) + "\r\nContent-Length: 0\r\n\r\n";
 }
-inline std::string ok(std::string_view body = "served", std::string_view headers = "") {
+inline std::string ok_response(std::string_view body = "served", std::string_view headers = "") {
     return "HTTP/1.1 200 OK\r\n" + std::string(headers) + "Content-Length: " + std::to_string(body.size()) +
            "\r\n\r\n" + std::string(body);
 }
-inline bool has(std::string_view text, std::string_view part) {
+inline bool contains(std::string_view text, std::string_view part) {
     return text.find(part) != std::string_view::npos;
 }
-inline int status(std::string_view answer) {
-    return answer.size() < 12 ? 0 : std::stoi(std::string(answer.substr(9, 3)));
+// Returns the status code of a response, or 0 where no status line has been received.
+inline int status_code(std::string_view response) {
+    return response.size() < 12 ? 0 : std::stoi(std::string(response.substr(9, 3)));
 }
 
 }  // namespace flaxdoor::test
--- a/tests/rubbish_test.cpp
+++ b/tests/rubbish_test.cpp
@@ -22,8 +22,8 @@
 std::vector<std::string> rubbish() {
     using namespace std::string_literals;
     const std::string head = "POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Call-Class: once\r\n";
-    const std::string request = once();
-    const std::string inner = look();
+    const std::string request = at_most_once_request();
+    const std::string inner = idempotent_request();
     return {
         "",
         "G",
@@ -50,59 +50,63 @@
     };
 }
 
-bool refused_or_closed(const Wire& wire) { return wire.ended || status(wire.in) >= 400; }
+bool refused_or_closed(const PeerConnection& wire) {
+    return wire.peer_closed || status_code(wire.received) >= 400;
+}
 
 // One of them sends a byte at a time for as long as it may.
 TEST(Rubbish, GetsAnErrorOrACloseInTimeAndReachesNoUpstream) {
-    Stage s;
+    HostHarness s;
     s.start();
     const auto began = Steady::now();
-    std::vector<std::shared_ptr<Wire>> peers;
+    std::vector<std::shared_ptr<PeerConnection>> peers;
     for (const auto& text : rubbish()) {
-        peers.push_back(s.client());
-        peers.back()->say(text);
+        peers.push_back(s.connect_client());
+        peers.back()->send(text);
     }
-    const auto trickling = s.client();
-    s.until([&] {
-        if (!trickling->ended) trickling->say("a");
+    const auto trickling = s.connect_client();
+    s.run_until([&] {
+        if (!trickling->peer_closed) trickling->send("a");
         return refused_or_closed(*trickling) &&
                std::all_of(peers.begin(), peers.end(), [](const auto& p) { return refused_or_closed(*p); });
     });
     EXPECT_LT(Steady::now() - began, rubbish_limit);
     for (std::size_t i = 0; i < peers.size(); ++i) {
         EXPECT_TRUE(refused_or_closed(*peers[i])) << rubbish()[i];
-        EXPECT_FALSE(has(peers[i]->in, "HTTP/1.1 200")) << rubbish()[i];
+        EXPECT_FALSE(contains(peers[i]->received, "HTTP/1.1 200")) << rubbish()[i];
     }
     settle(s);
     for (const auto& upstream : s.upstreams) {
-        for (const auto& wire : upstream->wires) ADD_FAILURE() << "reached an upstream: " << wire->in;
+        for (const auto& wire : upstream->connections)
+            ADD_FAILURE() << "reached an upstream: " << wire->received;
     }
 }
 
 // Where such a body ends is not known, whatever its length says: what follows could be taken for a request.
 TEST(Rubbish, ABodyInAnUnknownTransferCodingIsRefused) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto client = s.client();
-    client->say(
+    const auto client = s.connect_client();
+    client->send(
         "POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Call-Class: once\r\nX-Budget-Ms: 5000\r\n"
         "Transfer-Encoding: gzip\r\nContent-Length: 4\r\n\r\nbody");
     settle(s);
     for (const auto& upstream : s.upstreams) {
-        for (const auto& wire : upstream->wires) ADD_FAILURE() << "reached an upstream: " << wire->in;
+        for (const auto& wire : upstream->connections)
+            ADD_FAILURE() << "reached an upstream: " << wire->received;
     }
-    EXPECT_GE(status(client->in), 400);
+    EXPECT_GE(status_code(client->received), 400);
 }
 
 // A peer that goes on sending whatever it is answered.
 class Flood {
 public:
-    Flood(Stage& s, std::string text) : socket_(s.loop), text_(std::move(text)) {
+    Flood(HostHarness& s, std::string text) : socket_(s.loop), text_(std::move(text)) {
         socket_.connect(s.host->address());
         asio::async_write(socket_, asio::buffer(text_), [](auto, std::size_t) {});
         read();
     }
-    bool refused_or_closed() const { return ended_ || status(in_) >= 400; }
+    bool refused_or_closed() const { return ended_ || status_code(in_) >= 400; }
 
 private:
     void read() {
@@ -126,17 +130,17 @@
          {std::string(), head + "X-Long: ",
           head + "X-Budget-Ms: 5000\r\nContent-Length: " + std::to_string(much.size()) + "\r\n\r\n",
           head + "X-Budget-Ms: 5000\r\nTransfer-Encoding: chunked\r\n\r\n3938700\r\n"}) {
-        Stage s(1);
+        HostHarness s(1);
         s.start();
         const auto began = Steady::now();
         Flood flood(s, beginning + much);
-        s.until([&] { return flood.refused_or_closed(); });
+        s.run_until([&] { return flood.refused_or_closed(); });
         EXPECT_LT(Steady::now() - began, flood_limit) << beginning;
-        const auto client = s.client();  // others are served meanwhile
-        client->say(look());
-        s.request().first->say(ok());
-        EXPECT_EQ(status(s.answer(*client)), 200) << beginning;
-        EXPECT_EQ(s.connections(), 1U) << beginning;
+        const auto client = s.connect_client();  // others are served meanwhile
+        client->send(idempotent_request());
+        s.await_request().first->send(ok_response());
+        EXPECT_EQ(status_code(s.await_response(*client)), 200) << beginning;
+        EXPECT_EQ(s.upstream_connection_count(), 1U) << beginning;
         s.host.reset();
         s.loop.restart();
         s.loop.poll();  // the flood's own handlers end before it does
--- a/tests/second_answer_load_test.cpp
+++ b/tests/second_answer_load_test.cpp
@@ -252,7 +252,7 @@
         const std::string body = "call=" + std::to_string(call) +
                                  " answer=" + std::to_string(record_.answers.size()) +
                                  (turn == Turn::first ? " first" : " second");
-        asio::write(socket_, asio::buffer(ok(body)), error);
+        asio::write(socket_, asio::buffer(ok_response(body)), error);
         if (error) return;
         WrittenAnswer written{call, turn, number_, Steady::now(), {}};
         if (last_answer_at_) written.behind = since_last_answer(written.at);
@@ -309,7 +309,7 @@
 // Sends one request after another on its connection, each when the pause before it is over.
 class PausingClient {
 public:
-    PausingClient(Stage& stage, Queue& queue, const std::vector<Plan>& plans, const Record& record,
+    PausingClient(HostHarness& stage, Queue& queue, const std::vector<Plan>& plans, const Record& record,
                   Tally& tally)
         : stage_(stage), queue_(queue), plans_(plans), record_(record), tally_(tally), pause_(stage.loop) {
         next();
@@ -318,10 +318,10 @@
     // Takes what has come; true once nothing is left to do.
     bool done() {
         if (!call_ || pausing_) return !call_;
-        if (const std::string message = wire_->take(); !message.empty()) {
+        if (const std::string message = wire_->take_message(); !message.empty()) {
             judge(message);
             next();
-        } else if (wire_->ended) {
+        } else if (wire_->peer_closed) {
             send();
         }
         return !call_;
@@ -341,13 +341,13 @@
 
     void send() {
         pausing_ = false;
-        if (!wire_ || wire_->ended) wire_ = stage_.client();
-        wire_->say(look(5000, std::to_string(*call_).c_str()));
+        if (!wire_ || wire_->peer_closed) wire_ = stage_.connect_client();
+        wire_->send(idempotent_request(5000, std::to_string(*call_).c_str()));
     }
 
     void judge(const std::string& message) {
         const auto got_at = Steady::now();
-        if (status(message) != 200) {
+        if (status_code(message) != 200) {
             ++tally_.unserved;
             return;
         }
@@ -361,34 +361,34 @@
         if (tally_.trace.empty()) tally_.trace = trace_of(record_, answer, *call_, got_at);
     }
 
-    Stage& stage_;
+    HostHarness& stage_;
     Queue& queue_;
     const std::vector<Plan>& plans_;
     const Record& record_;
     Tally& tally_;
     asio::steady_timer pause_;
-    std::shared_ptr<Wire> wire_;
+    std::shared_ptr<PeerConnection> wire_;
     std::optional<std::size_t> call_;  // the request that it sends or waits for
     bool pausing_ = false;
 };
 
 // A new balancer, its upstreams and clients, until all requests are answered.
 void play_episode(std::size_t clients, std::size_t upstreams, std::mt19937_64& random, Tally& tally) {
-    Stage stage(static_cast<int>(upstreams));
+    HostHarness stage(static_cast<int>(upstreams));
     Record record;
     Queue queue{0, 60 + 20 * clients};
     const std::vector<Plan> plans = draw_plans(queue.end, random);
     std::vector<std::unique_ptr<TwiceUpstream>> twice_upstreams;
     for (std::size_t i = 0; i < upstreams; ++i) {
         twice_upstreams.push_back(std::make_unique<TwiceUpstream>(stage.loop, plans, record));
-        stage.config["known"]["hosts"][i]["dial"] = text_of(twice_upstreams[i]->address());
+        stage.config["known"]["hosts"][i]["dial"] = endpoint_text(twice_upstreams[i]->address());
     }
     stage.start();
     std::vector<std::unique_ptr<PausingClient>> all;
     for (std::size_t i = 0; i < clients; ++i) {
         all.push_back(std::make_unique<PausingClient>(stage, queue, plans, record, tally));
     }
-    stage.until([&] {
+    stage.run_until([&] {
         std::size_t done = 0;
         for (const auto& client : all) done += client->done();
         return done == all.size();
@@ -447,26 +447,26 @@
 
 // An answer that takes so many bytes in all.
 std::string answer_of_size(std::size_t bytes) {
-    const std::size_t framing = ok(std::string(bytes, '.')).size() - bytes;
-    return ok(std::string(bytes - framing, '.'));
+    const std::size_t framing = ok_response(std::string(bytes, '.')).size() - bytes;
+    return ok_response(std::string(bytes - framing, '.'));
 }
 
 // What the second client gets where both answers to the first one's request come at once, and the second
 // one's request comes in the same turn, which is held up between the two.
 std::string next_after_both_answers(std::size_t bytes_of_first) {
-    Stage s(1);
+    HostHarness s(1);
     s.start();
-    const auto one = s.client();
-    const auto two = s.client();
-    one->say(look(5000, "one"));
-    const auto wire = s.request().first;
+    const auto one = s.connect_client();
+    const auto two = s.connect_client();
+    one->send(idempotent_request(5000, "one"));
+    const auto wire = s.await_request().first;
     settle(s);
     HoldUp hold_up(s.loop);
-    wire->say(answer_of_size(bytes_of_first) + ok("to the first, again"));
+    wire->send(answer_of_size(bytes_of_first) + ok_response("to the first, again"));
     hold_up.begin();
-    two->say(look(5000, "two"));
-    s.request().first->say(ok("to the second"));
-    return s.answer(*two);
+    two->send(idempotent_request(5000, "two"));
+    s.await_request().first->send(ok_response("to the second"));
+    return s.await_response(*two);
 }
 
 // Guards against a second answer that the system has handed over and the loop has not: where the first ends
@@ -474,7 +474,7 @@
 // are those that a read may have.
 TEST(SecondAnswerInAHeldUpTurn, ReachesNoOtherRequest) {
     for (const std::size_t bytes : {4096U, 8192U, 16384U}) {
-        EXPECT_TRUE(has(next_after_both_answers(bytes), "to the second")) << bytes << " bytes";
+        EXPECT_TRUE(contains(next_after_both_answers(bytes), "to the second")) << bytes << " bytes";
     }
 }
 
--- a/tests/second_answer_worlds_test.cpp
+++ b/tests/second_answer_worlds_test.cpp
@@ -30,7 +30,7 @@
     Said on_request(const std::string& call_id) {
         if (first_.empty()) first_ = call_id;
         const bool again = world_ == World::the_first_is_answered_twice;
-        return {ok("42 in stock"), again ? first_ : call_id};
+        return {ok_response("42 in stock"), again ? first_ : call_id};
     }
 
 private:
@@ -54,27 +54,28 @@
 
 // A client asks for the same twice, the second time when the connection of the first has rested.
 Played play(World world) {
-    Stage s(1);
+    HostHarness s(1);
     s.start();
     Upstream upstream(world);
     Played played;
-    const auto client = s.client();
-    std::vector<std::shared_ptr<Wire>> used;
+    const auto client = s.connect_client();
+    std::vector<std::shared_ptr<PeerConnection>> used;
     for (const char* call_id : {"first", "second"}) {
-        client->say(look(5000, call_id));
-        const auto [wire, request] = s.request();
+        client->send(idempotent_request(5000, call_id));
+        const auto [wire, request] = s.await_request();
         used.push_back(wire);
         const Said said = upstream.on_request(call_id);
-        wire->say(said.bytes);
+        wire->send(said.bytes);
         played.asked.push_back(call_id);
         played.seen.insert(played.seen.end(), {"sent " + without_budget(request), "got " + said.bytes});
-        played.answers.push_back(s.answer(*client));
+        played.answers.push_back(s.await_response(*client));
         played.belongs_to.push_back(said.belongs_to);
         const auto rested = std::chrono::steady_clock::now() + longer_than_rest;
-        s.until([&] { return std::chrono::steady_clock::now() >= rested; });
+        s.run_until([&] { return std::chrono::steady_clock::now() >= rested; });
     }
     EXPECT_TRUE(used.front() == used.back()) << "the connection was not kept";
-    for (const auto& wire : s.upstreams[0]->wires) played.seen.push_back(wire->ended ? "ended" : "stands");
+    for (const auto& wire : s.upstreams[0]->connections)
+        played.seen.push_back(wire->peer_closed ? "ended" : "stands");
     return played;
 }
 
@@ -87,7 +88,7 @@
     const Played twice = play(World::the_first_is_answered_twice);
     EXPECT_EQ(once.seen, twice.seen);
     EXPECT_EQ(once.answers, twice.answers);
-    EXPECT_TRUE(has(once.answers.back(), "42 in stock"));
+    EXPECT_TRUE(contains(once.answers.back(), "42 in stock"));
     EXPECT_EQ(once.belongs_to, once.asked);
     EXPECT_EQ(twice.belongs_to.back(), twice.asked.front());
 }
--- a/tests/slow_upstream.h
+++ b/tests/slow_upstream.h
@@ -1,4 +1,4 @@
-// An upstream whose connections are held back, and what else several test files need round a Stage.
+// An upstream whose connections are held back, and what else several test files need around a HostHarness.
 #pragma once
 
 #include <memory>
@@ -10,11 +10,11 @@
 namespace flaxdoor::test {
 
 // Has every event that is on its way by now been handled? Each answer needs turns of the loop of its own.
-inline void settle(Stage& s) {
+inline void settle(HostHarness& s) {
     for (int i = 0; i < 3; ++i) {
-        const auto client = s.client();
-        client->say("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-        s.answer(*client);
+        const auto client = s.connect_client();
+        client->send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+        s.await_response(*client);
     }
 }
 
@@ -24,13 +24,13 @@
 // An upstream of which connections come up only when it is let: its queue of them is full till then.
 class Slow {
 public:
-    explicit Slow(Stage& s) : loop_(s.loop), acceptor_(s.loop) {
+    explicit Slow(HostHarness& s) : loop_(s.loop), acceptor_(s.loop) {
         acceptor_.open(tcp::v4());
         acceptor_.bind(loopback());
         acceptor_.listen(0);
-        s.config["known"]["hosts"][0]["dial"] = text_of(acceptor_.local_endpoint());
+        s.config["known"]["hosts"][0]["dial"] = endpoint_text(acceptor_.local_endpoint());
         for (int i = 0; i < 4; ++i) wait_in_line();
-        s.until([&] { return through_ > 0; });
+        s.run_until([&] { return through_ > 0; });
     }
     ~Slow() { acceptor_.close(); }
 
@@ -43,20 +43,20 @@
         });
     }
     // Takes connections, until all that wait in line have come through.
-    void let(Stage& s) {
+    void let(HostHarness& s) {
         wait_in_line();  // behind the host's
         accept();
-        s.until([&] { return through_ == lines_.size() && wires.size() >= lines_.size(); });
+        s.run_until([&] { return through_ == lines_.size() && wires.size() >= lines_.size(); });
         settle(s);
     }
 
-    std::vector<std::shared_ptr<Wire>> wires;
+    std::vector<std::shared_ptr<PeerConnection>> wires;
 
 private:
     void accept() {
         acceptor_.async_accept([this](boost::system::error_code error, tcp::socket socket) {
             if (error) return;
-            wires.push_back(std::make_shared<Wire>(std::move(socket)));
+            wires.push_back(std::make_shared<PeerConnection>(std::move(socket)));
             wires.back()->start();
             accept();
         });
@@ -67,7 +67,7 @@
     std::size_t through_ = 0;
 };
 
-inline void allow_slow_connections(Stage& s) {
+inline void allow_slow_connections(HostHarness& s) {
     for (auto& c : s.config["settings"]["services"]) c["aim"] = 15000.0;
     for (auto& c : s.config["settings"]["services"]) c["hard_limit"] = 15000.0;
     s.config["settings"]["limits"]["connect_timeout"] = 15000.0;
--- a/tests/standing_terms_test.cpp
+++ b/tests/standing_terms_test.cpp
@@ -29,11 +29,11 @@
 // What the protocol adds to each time limit on sockets.
 constexpr milliseconds socket_slack(50);
 
-void wait_for(Stage& s, milliseconds span) {
+void wait_for(HostHarness& s, milliseconds span) {
     asio::steady_timer timer(s.loop, span);
     bool over = false;
     timer.async_wait([&](auto) { over = true; });
-    s.until([&] { return over; });
+    s.run_until([&] { return over; });
 }
 
 // ------------------------------------------------------------------------- upstreams that die at an accept
@@ -55,7 +55,7 @@
 }
 
 TEST(Killed, AResetBeforeTheFirstByteIsNoConnection) {
-    Stage s(0);
+    HostHarness s(0);
     tcp::acceptor acceptor(s.loop, loopback());
     OutcomeOfOne sink;
     sink.as_it_comes_up = [&] {
@@ -68,33 +68,33 @@
     upstreams.set_address(1, acceptor.local_endpoint());
     const Time expires = clock.now() + std::chrono::seconds(15);
     upstreams.send({1, 0}, 1, bare_request(10), expires, expires);
-    s.until([&] { return sink.outcome.has_value(); });
+    s.run_until([&] { return sink.outcome.has_value(); });
     EXPECT_EQ(sink.outcome, Outcome::connect_failed);
 }
 
 // More than the system holds in its buffers: the last byte can't have been written.
 TEST(Killed, AResetInTheMiddleOfTheRequestIsNoConnection) {
     constexpr std::size_t size = 64 << 20;
-    Stage s(1);
+    HostHarness s(1);
     OutcomeOfOne sink;
     const net::Clock clock;
     net::Upstreams upstreams(s.loop, clock, {std::chrono::seconds(5), {}, 8}, {}, sink);
     upstreams.set_address(1, s.upstreams[0]->address());
     const Time expires = clock.now() + std::chrono::seconds(15);
     upstreams.send({1, 0}, 1, bare_request(size), expires, expires);
-    auto& wires = s.upstreams[0]->wires;
-    s.until([&] { return !wires.empty() && !wires[0]->in.empty(); });
-    ASSERT_LT(wires[0]->in.size(), size / 2);
+    auto& wires = s.upstreams[0]->connections;
+    s.run_until([&] { return !wires.empty() && !wires[0]->received.empty(); });
+    ASSERT_LT(wires[0]->received.size(), size / 2);
     wires[0]->reset();
-    s.until([&] { return sink.outcome.has_value(); });
+    s.run_until([&] { return sink.outcome.has_value(); });
     EXPECT_EQ(sink.outcome, Outcome::connect_failed);
 }
 
 // An upstream that resets each connection the moment it has accepted it.
 class Resetting {
 public:
-    explicit Resetting(Stage& s) : acceptor_(s.loop, loopback()) {
-        s.config["known"]["hosts"][0]["dial"] = text_of(acceptor_.local_endpoint());
+    explicit Resetting(HostHarness& s) : acceptor_(s.loop, loopback()) {
+        s.config["known"]["hosts"][0]["dial"] = endpoint_text(acceptor_.local_endpoint());
         accept();
     }
     int resets = 0;
@@ -116,27 +116,27 @@
 // written whole, and then once; else it fails and is not refused.
 TEST(Killed, AnUpstreamThatResetsWhatItAccepts) {
     for (const bool unsafe : {true, false}) {
-        Stage s;
+        HostHarness s;
         Resetting resetting(s);
         s.start();
         int served = 0, arrived = 0;
         for (int i = 0; i < 12; ++i) {
-            const auto client = s.client();
-            client->say(unsafe ? once() : look());
+            const auto client = s.connect_client();
+            client->send(unsafe ? at_most_once_request() : idempotent_request());
             std::string answer;
-            s.until([&] {
-                for (const auto& wire : s.upstreams[1]->wires) {
-                    if (wire->take().empty()) continue;
+            s.run_until([&] {
+                for (const auto& wire : s.upstreams[1]->connections) {
+                    if (wire->take_message().empty()) continue;
                     ++arrived;
-                    wire->say(ok());
+                    wire->send(ok_response());
                 }
-                return !(answer = client->take()).empty();
+                return !(answer = client->take_message()).empty();
             });
-            served += status(answer) == 200;
-            EXPECT_TRUE(status(answer) == 200 || (unsafe && status(answer) == 502)) << answer;
+            served += status_code(answer) == 200;
+            EXPECT_TRUE(status_code(answer) == 200 || (unsafe && status_code(answer) == 502)) << answer;
         }
         settle(s);
-        EXPECT_TRUE(s.nothing_sent());
+        EXPECT_TRUE(s.no_unread_requests());
         EXPECT_EQ(arrived, served) << unsafe;
         EXPECT_GT(resetting.resets, 0);
         s.host.reset();
@@ -145,36 +145,36 @@
 
 // The system has accepted the connection and taken the whole request when the process dies that listens.
 TEST(Killed, AProcessThatDiesBeforeItsAcceptMayHaveRunTheRequest) {
-    Stage s(1);
+    HostHarness s(1);
     tcp::acceptor acceptor(s.loop, loopback());
-    s.config["known"]["hosts"][0]["dial"] = text_of(acceptor.local_endpoint());
+    s.config["known"]["hosts"][0]["dial"] = endpoint_text(acceptor.local_endpoint());
     s.start();
-    const auto client = s.client();
-    client->say(once());
+    const auto client = s.connect_client();
+    client->send(at_most_once_request());
     settle(s);  // the request has been written
     acceptor.close();
-    EXPECT_EQ(status(s.answer(*client)), 502);  // and not 503, which would say that it never ran
+    EXPECT_EQ(status_code(s.await_response(*client)), 502);  // and not 503, which would say that it never ran
 }
 
 TEST(Killed, AHarmlessRequestGoesOnFromAProcessThatDiesBeforeItsAccept) {
-    Stage s;
+    HostHarness s;
     tcp::acceptor acceptor(s.loop, loopback());
-    s.config["known"]["hosts"][0]["dial"] = text_of(acceptor.local_endpoint());
+    s.config["known"]["hosts"][0]["dial"] = endpoint_text(acceptor.local_endpoint());
     s.config["settings"]["services"][0]["aim"] = 5000.0;  // no time-out before the process dies
     s.start();
-    std::shared_ptr<Wire> client;
+    std::shared_ptr<PeerConnection> client;
     for (bool waits = false; !waits;) {
-        client = s.client();
-        client->say(look());
+        client = s.connect_client();
+        client->send(idempotent_request());
         settle(s);
-        waits = s.nothing_sent();
+        waits = s.no_unread_requests();
         if (waits) break;
-        s.request().first->say(ok());
-        EXPECT_EQ(status(s.answer(*client)), 200);
+        s.await_request().first->send(ok_response());
+        EXPECT_EQ(status_code(s.await_response(*client)), 200);
     }
     acceptor.close();
-    s.request().first->say(ok());
-    EXPECT_EQ(status(s.answer(*client)), 200);
+    s.await_request().first->send(ok_response());
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
 }
 
 // --------------------------------------------------------------------------------------- a running program
@@ -182,7 +182,7 @@
 // The program itself, as a child that ends with this object.
 class Program {
 public:
-    explicit Program(Stage& s) : stage_(s), errors_(s.loop) {
+    explicit Program(HostHarness& s) : stage_(s), errors_(s.loop) {
         std::string directory = testing::TempDir() + "flaxdoor-XXXXXX";
         if (!::mkdtemp(directory.data())) throw std::runtime_error("no directory");
         directory_ = directory;
@@ -205,7 +205,7 @@
     // Waits for a line on the standard error that begins like this, behind those waited for before.
     void expect_line(const std::string& beginning) {
         std::size_t at = std::string::npos;
-        stage_.until([&] {
+        stage_.run_until([&] {
             at = ("\n" + said_).find("\n" + beginning, seen_);
             return at != std::string::npos && said_.find('\n', at) != std::string::npos;
         });
@@ -244,7 +244,7 @@
         });
     }
 
-    Stage& stage_;
+    HostHarness& stage_;
     asio::posix::stream_descriptor errors_;
     std::filesystem::path directory_;
     pid_t child_ = 0;
@@ -256,11 +256,11 @@
 // A configuration that can't be read is reported; the program goes on with the one it has, asks discovery at
 // the address it knows, and takes the next one that can be read.
 TEST(Reload, AConfigurationThatCannotBeReadLeavesTheOneInForce) {
-    Stage s;
+    HostHarness s;
     Listener moved(s.loop);
     s.config["settings"]["invariants"]["ask_within"] = 200.0;
     json next = s.config;
-    next["discovery"] = text_of(moved.address());
+    next["discovery"] = endpoint_text(moved.address());
     json no_address = next;
     no_address["discovery"] = "nowhere";
     json no_settings = next;
@@ -269,7 +269,7 @@
     Program program(s);
     program.expect_line("listening");
     std::size_t calls = 1;
-    s.until([&] { return asked(s.discovery, calls); });
+    s.run_until([&] { return asked(s.discovery, calls); });
     for (const std::string& broken : {std::string(), whole.substr(0, whole.size() / 2), std::string("[]"),
                                       no_address.dump(), no_settings.dump(), std::string("no file")}) {
         program.configure(broken);
@@ -277,15 +277,15 @@
         program.signal(SIGHUP);
         program.expect_line("flaxdoor: configuration " + program.file().string() + ": ");
         ASSERT_TRUE(program.runs()) << broken;
-        s.discovery.wires[calls - 1]->close();  // it asks again, and where it did
+        s.discovery.connections[calls - 1]->close();  // it asks again, and where it did
         ++calls;
-        s.until([&] { return asked(s.discovery, calls); });
-        EXPECT_TRUE(moved.wires.empty()) << broken;
+        s.run_until([&] { return asked(s.discovery, calls); });
+        EXPECT_TRUE(moved.connections.empty()) << broken;
     }
     program.configure(whole);
     program.signal(SIGHUP);
     program.expect_line("configuration read anew");
-    s.until([&] { return asked(moved, 1); });
+    s.run_until([&] { return asked(moved, 1); });
     program.signal(SIGTERM);
     program.expect_line("drained");
     EXPECT_EQ(program.exit_status(), 0);
@@ -294,7 +294,7 @@
 // ---------------------------------------------------------------------------------- requests out of time
 
 struct Waiting {
-    std::shared_ptr<Wire> client;
+    std::shared_ptr<PeerConnection> client;
     Steady::time_point sent;
     milliseconds budget;
     std::string what;
@@ -302,42 +302,44 @@
 };
 
 // Requests of every class and of different budgets, all at once and none served: each has its answer in time.
-void expect_answers_in_time(Stage& s, const std::string& why) {
+void expect_answers_in_time(HostHarness& s, const std::string& why) {
     std::vector<Waiting> all;
     for (const int budget : {60, 150, 400, 900}) {
-        for (const auto& request : {look(budget), once(budget), book(budget)}) {
-            all.push_back({s.client(), Steady::now(), milliseconds(budget), request, {}});
-            all.back().client->say(request);
+        for (const auto& request :
+             {idempotent_request(budget), at_most_once_request(budget), deduplicated_request(budget)}) {
+            all.push_back({s.connect_client(), Steady::now(), milliseconds(budget), request, {}});
+            all.back().client->send(request);
         }
     }
-    s.until([&] {
+    s.run_until([&] {
         for (auto& w : all) {
-            if (!w.answered && (w.client->ended || has(w.client->in, "\r\n\r\n"))) w.answered = Steady::now();
+            if (!w.answered && (w.client->peer_closed || contains(w.client->received, "\r\n\r\n")))
+                w.answered = Steady::now();
         }
         return std::all_of(all.begin(), all.end(), [](const Waiting& w) { return w.answered.has_value(); });
     });
     for (const auto& w : all) {
-        EXPECT_GE(status(w.client->in), 500) << why << ": " << w.what;
+        EXPECT_GE(status_code(w.client->received), 500) << why << ": " << w.what;
         ASSERT_TRUE(w.answered) << why << ": " << w.what;
         EXPECT_LE(*w.answered - w.sent, w.budget + socket_slack) << why << ": " << w.what;
     }
 }
 
 TEST(OutOfTime, WhereUpstreamsHang) {
-    Stage s;
+    HostHarness s;
     s.start();
     expect_answers_in_time(s, "they hang");
 }
 
 TEST(OutOfTime, WhereThereAreNoUpstreams) {
-    Stage s(0);
+    HostHarness s(0);
     s.start();
     expect_answers_in_time(s, "there are none");
 }
 
 TEST(OutOfTime, WhereConnectionsNeverComeUp) {
     for (const double connect_timeout : {200.0, 15000.0}) {
-        Stage s(1);
+        HostHarness s(1);
         s.config["settings"]["limits"]["connect_timeout"] = connect_timeout;
         Slow slow(s);
         s.start();
@@ -347,7 +349,7 @@
 }
 
 TEST(OutOfTime, WhereUpstreamsTakeNoConnection) {
-    Stage s;
+    HostHarness s;
     for (const auto& upstream : s.upstreams) upstream->close();
     s.start();
     expect_answers_in_time(s, "connections are refused");
@@ -364,53 +366,54 @@
 // Each attempt but the first is turned away after a while.
 TEST(ToldTime, OfFurtherAttemptsIsAtMostWhatIsLeft) {
     constexpr milliseconds budget(2000), held(100);
-    Stage s(4);
+    HostHarness s(4);
     s.start();
-    const auto client = s.client();
+    const auto client = s.connect_client();
     const auto sent = Steady::now();
-    client->say(look(budget.count()));
-    auto wire = s.request().first;
+    client->send(idempotent_request(budget.count()));
+    auto wire = s.await_request().first;
     for (int further = 1; further <= 3; ++further) {
         wait_for(s, held);
         const auto left = budget - (Steady::now() - sent);
-        wire->say(turned_away);
-        const auto next = s.request();
+        wire->send(turned_away);
+        const auto next = s.await_request();
         EXPECT_GT(told_budget(next.second), milliseconds(0)) << further;
         EXPECT_LE(told_budget(next.second), left) << further;
         wire = next.first;
     }
-    wire->say(ok());
-    EXPECT_EQ(status(s.answer(*client)), 200);
+    wire->send(ok_response());
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
 }
 
 // The connection for the further attempt comes up late: its request is written only then.
 TEST(ToldTime, OfAFurtherAttemptIsWhatIsLeftWhenItsConnectionComesUp) {
     constexpr milliseconds budget(5000), late(600), allowed(150);
-    Stage s;
+    HostHarness s;
     allow_slow_connections(s);
     s.config["settings"]["limits"]["max_attempts"] = 2;  // so that the last may take all that is left
     Slow slow(s);
     s.start();
-    std::shared_ptr<Wire> client;
+    std::shared_ptr<PeerConnection> client;
     Steady::time_point sent;
     for (bool further = false; !further;) {  // until one goes to the other upstream first
-        client = s.client();
+        client = s.connect_client();
         sent = Steady::now();
-        client->say(look(budget.count()));
+        client->send(idempotent_request(budget.count()));
         settle(s);
-        further = !s.nothing_sent();
+        further = !s.no_unread_requests();
         if (!further) client->close();
     }
-    s.request().first->say(turned_away);
+    s.await_request().first->send(turned_away);
     wait_for(s, late);
     const auto left = budget - (Steady::now() - sent);
     slow.let(s);
     std::string request;
-    s.until([&] {
+    s.run_until([&] {
         for (const auto& wire : slow.wires) {
-            if (const auto at = wire->in.find("GET "); at != std::string::npos) request = wire->in.substr(at);
+            if (const auto at = wire->received.find("GET "); at != std::string::npos)
+                request = wire->received.substr(at);
         }
-        return has(request, "\r\n\r\n");
+        return contains(request, "\r\n\r\n");
     });
     EXPECT_GT(told_budget(request), milliseconds(0));
     EXPECT_LE(told_budget(request), left + allowed);
@@ -421,20 +424,22 @@
 // A burst of clients goes while no upstream is known; then one is.
 TEST(Gone, NothingIsSentForAClientThatLeftBeforeItsFirstAttempt) {
     for (const std::string how : {"closes", "resets", "closes behind more"}) {
-        Stage s(2);
+        HostHarness s(2);
         s.config["known"]["hosts"] = json::array();
         s.start();
-        s.until([&] { return asked(s.discovery, 1); });
-        std::vector<std::shared_ptr<Wire>> leaving;
+        s.run_until([&] { return asked(s.discovery, 1); });
+        std::vector<std::shared_ptr<PeerConnection>> leaving;
         for (int i = 0; i < 30; ++i) {
-            leaving.push_back(s.client());
-            leaving.back()->say(i % 3 == 0 ? look(5000, "leaves") : i % 3 == 1 ? once() : book());
+            leaving.push_back(s.connect_client());
+            leaving.back()->send(i % 3 == 0   ? idempotent_request(5000, "leaves")
+                                 : i % 3 == 1 ? at_most_once_request()
+                                              : deduplicated_request());
         }
-        const auto staying = s.client();
-        staying->say(look(5000, "stays"));
+        const auto staying = s.connect_client();
+        staying->send(idempotent_request(5000, "stays"));
         settle(s);
         for (const auto& client : leaving) {
-            if (how == "closes behind more") client->say(std::string(100000, 'x'));
+            if (how == "closes behind more") client->send(std::string(100000, 'x'));
             if (how == "resets") {
                 client->reset();
             } else {
@@ -442,14 +447,14 @@
             }
         }
         settle(s);
-        s.discovery.wires[0]->say(watch_head + chunk(s.list(9, true).dump() + "\n"));
-        const auto [wire, request] = s.request();
-        EXPECT_TRUE(has(request, "X-Call-Id: stays\r\n")) << how;
-        wire->say(ok());
-        EXPECT_EQ(status(s.answer(*staying)), 200) << how;
+        s.discovery.connections[0]->send(watch_head + chunk(s.list_json(9, true).dump() + "\n"));
+        const auto [wire, request] = s.await_request();
+        EXPECT_TRUE(contains(request, "X-Call-Id: stays\r\n")) << how;
+        wire->send(ok_response());
+        EXPECT_EQ(status_code(s.await_response(*staying)), 200) << how;
         settle(s);
-        EXPECT_TRUE(s.nothing_sent()) << how;
-        EXPECT_EQ(s.connections(), 1U) << how;
+        EXPECT_TRUE(s.no_unread_requests()) << how;
+        EXPECT_EQ(s.upstream_connection_count(), 1U) << how;
         s.host.reset();
     }
 }
