--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,5 @@
-// One real balancer: environment, configuration, signals, the loop.
+// The balancer program: reads the configuration that NODE_CONFIG names, handles signals and runs the event
+// loop.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
@@ -24,7 +25,8 @@
     }
 }
 
-// A configuration that can't be read leaves the one in force: a balancer that serves on is worth more.
+// Reloads the configuration on SIGHUP. One that is unreadable or invalid is logged and the current one stays
+// in force, so that the balancer keeps serving.
 void heed_changes(boost::asio::signal_set& changes, Host& host) {
     changes.async_wait([&](const boost::system::error_code& error, int) {
         if (error) return;
@@ -43,7 +45,7 @@
     std::signal(SIGPIPE, SIG_IGN);
     try {
         boost::asio::io_context loop(1);
-        // Kept for when the host is there to heed them.
+        // Registered before the host exists, so that signals during its start are handled once the loop runs.
         boost::asio::signal_set signals(loop, SIGTERM, SIGINT);
         boost::asio::signal_set changes(loop, SIGHUP);
         Host host(loop, configuration());
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -11,24 +11,25 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A connection with no request open on it must be left open for 2 s. The client counts them from when the
-// answer arrived, a little later than this side does.
+// An idle connection must be left open for 2 s. The client counts them from the arrival of the response, a
+// little later than this side does; hence the margin of 50 ms.
 constexpr Micros min_idle_before_close = milliseconds(2050);
 // A peer that sends no request must get an error or a close within 3 s of connecting. These three add up to
-// less: the wait in the backlog while there is no room, the time given to the first whole request, and the
-// interval between two sweeps.
+// less: the wait in the backlog at the connection limit, the time allowed for the first complete request, and
+// the interval between two sweeps.
 constexpr Micros backlog_timeout = milliseconds(250);
 constexpr Micros first_request_timeout = milliseconds(2300);
 constexpr auto sweep_interval = milliseconds(250);
-// Between two looks for room for those in the backlog, and after an accept that failed for want of
-// descriptors.
+// Interval of the checks whether a connection in the backlog can be accepted, and delay after an accept that
+// failed for lack of descriptors.
 constexpr auto accept_retry_delay = milliseconds(20);
-// The first request of a new connection most likely comes within this.
+// The first request of a new connection most likely arrives within this time.
 constexpr Micros fresh_span = milliseconds(100);
-constexpr Micros request_timeout = seconds(10);      // from a request's first byte to its last
-constexpr Micros answer_timeout = seconds(10);       // to take an answer, and to end a connection
-constexpr Micros idle_timeout = seconds(300);        // between requests
-constexpr std::uint64_t budget_most_ms = 60 * 1000;  // more than any client waits
+constexpr Micros request_timeout = seconds(10);  // from a request's first byte to its last
+constexpr Micros answer_timeout = seconds(10);   // for the client to read a response, and to close after one
+constexpr Micros idle_timeout = seconds(300);    // between requests
+constexpr std::uint64_t budget_most_ms =
+    60 * 1000;  // upper bound of a valid X-Budget-Ms; no client waits that long
 
 template <typename Number>
 bool parse_number(beast::string_view text, Number& value, int base = 10) {
@@ -37,7 +38,8 @@
     return error == std::errc{} && last == end && !text.empty();
 }
 
-// The cookie `key`: its value as a number, or a number made of it.
+// Returns the value of the cookie `key`: parsed as a hexadecimal number, or hashed where it is none. 0 if
+// there is no such cookie.
 std::uint64_t key_of(beast::string_view cookies) {
     while (!cookies.empty()) {
         const auto end = std::min(cookies.find(';'), cookies.size());
@@ -61,7 +63,7 @@
     return std::nullopt;
 }
 
-// The method tells the effect, and must tell the one of the class.
+// Returns whether the method, with the presence of an idempotency key, matches the effect of the class.
 bool method_fits(const HttpRequest& message, Effect effect) {
     const bool keyed = !message["Idempotency-Key"].empty();
     switch (effect) {
@@ -110,8 +112,8 @@
     return request;
 }
 
-// One client connection: reads a request, waits for its answer, writes it, and again. What comes is always
-// waited for, so that a client that goes meanwhile is noticed at once.
+// One client connection: reads a request, waits for its response, writes that, and repeats. A read is pending
+// in every state, so that a disconnect is detected at once.
 class Clients::Connection : public std::enable_shared_from_this<Connection> {
 public:
     enum class State { reading, waiting, writing, lingering };
@@ -126,21 +128,21 @@
         read();
     }
 
-    // Between requests, and nothing that has arrived says otherwise.
+    // Returns whether the connection is between requests with no part of a request, and no close, received.
     bool idle() { return state_ == State::reading && !request_begun() && no_input_pending(socket_); }
-    // Idle for so long that it may be closed to make room.
+    // Returns whether the connection has been idle for long enough to be closed for a new one.
     bool may_be_closed(Time now) { return now - since_ >= min_idle_before_close && idle(); }
     Time since() const { return since_; }
-    // So new that its first request is most likely on its way.
+    // Returns whether the connection is so new that its first request is most likely on its way.
     bool fresh() const { return !asked_ && owner_.clock_.now() - opened_ < fresh_span; }
 
     bool overdue(Time now) {
         switch (state_) {
             case State::reading:
-                // Guards against peers that hold a connection and never send a request.
+                // Bounds how long a peer can hold a connection without ever sending a request.
                 if (!asked_) return now - opened_ > first_request_timeout;
                 if (request_begun()) return now - since_ > request_timeout;
-                // Guards against a request lost that has come and is about to be read.
+                // A request that has arrived and is about to be read must not be lost.
                 return now - since_ > idle_timeout && no_input_pending(socket_);
             case State::waiting: return false;
             default: return now - since_ > answer_timeout;
@@ -158,7 +160,7 @@
         write();
     }
 
-    // The client's end may be here without its turn to be read having come.
+    // Detects a disconnect that has reached the socket before the event loop delivers it.
     void notice_end() {
         if (peer_has_closed(socket_)) gone();
     }
@@ -174,8 +176,8 @@
 private:
     bool request_begun() const { return buffer_.size() > 0 || parser_->got_some(); }
 
-    // Guards against a request lost in a shutdown: one that has come behind the request answered now keeps
-    // the connection for its own answer.
+    // Returns whether the connection closes after this response. During the shutdown a further request that
+    // has already arrived keeps it open for its own response, so that the request is not lost.
     bool ends_with_answer() {
         if (!keep_alive_ || overrun_) return true;
         return owner_.winding_down_ && buffer_.size() == 0 && no_input_pending(socket_);
@@ -211,9 +213,9 @@
         });
     }
 
-    // One request at a time: what a client sends beyond the one that waits is bounded. Past that it is
-    // dropped and the connection ends with the answer; to read no further would be not to notice that the
-    // client has gone.
+    // Bounds the input buffered behind the request being served. Input beyond the bound is discarded, and the
+    // connection closes after the response. Reading goes on all the same: without a read a disconnect would
+    // go undetected.
     void bound() {
         if (state_ == State::reading || buffer_.size() <= max_header_bytes + max_body_bytes) return;
         buffer_.consume(buffer_.size());
@@ -236,7 +238,7 @@
         error_code error;
         buffer_.consume(parser_->put(buffer_.data(), error));
         if (error && error != http::error::need_more) {
-            // Where this request ends is not known: the connection ends with the answer.
+            // The end of this request is unknown, so the connection closes after the response.
             keep_alive_ = false;
             const bool large = error == http::error::body_limit;
             answer(plain_answer(large ? http::status::payload_too_large : http::status::bad_request));
@@ -253,8 +255,8 @@
     void dispatch(HttpRequest message) {
         asked_ = true;
         keep_alive_ = message.keep_alive();
-        // A body in a coding that is not understood ends who knows where: the connection ends with the
-        // answer.
+        // The end of a body in an unknown transfer coding can't be found, so the connection closes after the
+        // response.
         if (message.count(http::field::transfer_encoding) > 0 && !message.chunked()) {
             keep_alive_ = false;
             answer(plain_answer(http::status::bad_request));
@@ -299,7 +301,7 @@
         }
         expect_request();
         if (buffer_.size() == 0) return;
-        // Not from here: this may be under the call that brought the last request.
+        // Deferred, as this may run inside the handler of the last request.
         asio::post(owner_.loop_, [self = shared_from_this()] {
             if (self->closed_) return;
             self->take();
@@ -307,8 +309,9 @@
         });
     }
 
-    // Guards against an answer lost on its way: to close while bytes of the client are unread would reset the
-    // connection. So only this side ends, and what still comes is read until the client ends too.
+    // Lingering close: closing the socket with unread input would reset the connection and could destroy the
+    // response on its way. Only the sending side is shut down, and input is discarded until the client
+    // closes.
     void linger() {
         enter(State::lingering);
         error_code error;
@@ -328,14 +331,14 @@
     std::string out_;
     std::size_t written_ = 0;
     RequestId id_ = 0;
-    Time since_{};  // when the state was entered, or the request's first byte came
+    Time since_{};  // when the state was entered, or the first byte of the request read
     State state_ = State::reading;
     const Time opened_ = owner_.clock_.now();
-    bool asked_ = false;  // a whole request has come on it
+    bool asked_ = false;  // a complete request has been received
     bool reading_ = false;
     bool keep_alive_ = true;
     bool continued_ = false;
-    bool overrun_ = false;  // what it sent has been dropped
+    bool overrun_ = false;  // input has been discarded
     bool last_ = false;
     bool closed_ = false;
 };
@@ -376,8 +379,8 @@
     });
 }
 
-// Room is made only for a connection that has come: one that is closed ahead of need may have a request on
-// its way.
+// Closes an idle connection only for one that is already in the backlog: the client of the closed one may
+// have a request on its way.
 bool Clients::take_connection() {
     if (connections_.size() >= max_connections_ && !make_room()) {
         wait_for_room();
@@ -402,7 +405,7 @@
     return !error;
 }
 
-// Guards against spinning when descriptors run out: the listener stays ready, and each try fails at once.
+// Prevents a busy loop when descriptors run out: the listener stays readable, and each accept fails at once.
 void Clients::accept_later() {
     accept_retry_.expires_after(accept_retry_delay);
     accept_retry_.async_wait([this](error_code error) {
@@ -410,7 +413,8 @@
     });
 }
 
-// Guards against spinning while there is no room: the listener stays ready.
+// Prevents a busy loop at the connection limit: the listener stays readable. Connections in the backlog are
+// checked at intervals instead.
 void Clients::wait_for_room() {
     if (full_since_) return;
     full_since_ = clock_.now();
@@ -421,7 +425,7 @@
     room_check_.expires_after(accept_retry_delay);
     room_check_.async_wait([this](error_code error) {
         if (error) return;
-        if (accepting_) {  // since the last look, and nobody has come: the backlog is empty
+        if (accepting_) {  // the wait of the last check is still pending: the backlog is empty
             full_since_.reset();
         } else if (clock_.now() - *full_since_ >= backlog_timeout) {
             shut_backlog();
@@ -432,9 +436,9 @@
     });
 }
 
-// Guards against clients that wait in vain, and against peers that are neither answered nor closed: a client
-// whose connection is shut at once can try elsewhere. What has arrived on these connections stays unread: a
-// request that isn't taken isn't lost.
+// Closes all connections in the backlog unread. A client whose connection is closed at once can try elsewhere
+// instead of waiting for nothing, and no peer is left with neither a response nor a close. A request that has
+// not been read has not been accepted, so none is lost.
 void Clients::shut_backlog() {
     full_since_.reset();
     for (int i = 0; i < asio::socket_base::max_listen_connections; ++i) {
@@ -489,7 +493,7 @@
 
 bool Clients::wind_down() {
     winding_down_ = true;
-    // Those that the system has accepted already would be reset with the listener.
+    // Connections that the kernel has already established would be reset when the listener closes.
     while (acceptor_.is_open() && take_connection()) {
     }
     std::vector<std::shared_ptr<Connection>> idle;
--- a/src/net/clients.h
+++ b/src/net/clients.h
@@ -1,4 +1,5 @@
-// Clients: listening, readiness, requests in, one answer each out, and noticing that a client has gone.
+// The client side: listens, answers readiness checks, parses requests, sends one response to each, and
+// detects that a client has disconnected.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,40 +17,45 @@
 
 namespace flaxdoor::net {
 
-// A request that has been understood. Its `deadline` is not set: what it has left stands in `budget`.
+// A valid request. The deadline in `facts` is not set; `budget` is the time that the client still waits.
 struct ClientRequest {
     Request facts;
     Micros budget{};
     HttpRequest message;
 };
 
+// Receives the events of Clients.
 class ClientEvents {
 public:
     virtual ~ClientEvents() = default;
     virtual void on_client_request(ClientRequest request) = 0;
+    // The client of a request that has no response yet has disconnected. No response can reach it.
     virtual void on_client_left(RequestId request) = 0;
 };
 
+// The listening socket and the client connections. Runs on the thread of `loop`; `loop`, `clock`, `settings`
+// and `events` must outlive it.
 class Clients {
 public:
-    // At most `max_connections` are held at once. Beyond that, the connection that has been idle longest is
+    // At most `max_connections` are open at once. At the limit the connection that has been idle longest is
     // closed for a new one, if it has been idle long enough to be closed. Where there is none, new
-    // connections wait in the listener's backlog for a short time and are then shut unread.
+    // connections wait in the listener's backlog for a short time and are then closed without being read.
     Clients(boost::asio::io_context& loop, const Clock& clock, const Settings& settings,
             std::size_t max_connections, ClientEvents& events);
     ~Clients();
 
-    // Throws boost::system::system_error when the address can't be listened on.
+    // Throws boost::system::system_error when listening on the address fails.
     void listen(const boost::asio::ip::tcp::endpoint& address);
     boost::asio::ip::tcp::endpoint address() const;
 
-    // The one answer of a request. One whose client has gone is dropped.
+    // Sends the only response to a request. Does nothing if the client has disconnected.
     void answer(RequestId request, HttpResponse response);
-    // Tells of the client of a request that has gone by now, whether or not its turn to be read has come.
+    // Calls on_client_left() at once if the client of the request has disconnected by now, even if the event
+    // loop has not delivered that yet.
     void notice_end(RequestId request);
-    // From now on an answer closes its connection unless a further request has come on it, and connections
-    // between requests are closed. Returns whether there are others: a request is coming in or waits, or an
-    // answer may not have arrived.
+    // From now on a response closes its connection unless a further request has arrived on it, and idle
+    // connections are closed. Returns whether other connections remain: a request is being received or
+    // served, or the client may not have received its response yet.
     bool wind_down();
     void stop();
 
@@ -57,18 +63,18 @@
     class Connection;
     friend class Connection;
 
-    // Waits for the next connection in the backlog, and takes it.
+    // Waits for the next connection in the backlog and accepts it.
     void accept();
-    // Returns whether a connection has been taken, so that there may be more in the backlog.
+    // Returns whether a connection has been accepted, so that there may be more in the backlog.
     bool take_connection();
     void accept_later();
-    // Those in the backlog wait until there is room, or until their time limit is over.
+    // Leaves connections in the backlog until one can be accepted or their time limit is over.
     void wait_for_room();
     void check_for_room();
     void shut_backlog();
-    // Closes the connection that has been idle longest, if it may be closed. Returns whether it did.
+    // Closes the connection that has been idle longest, if one may be closed. Returns whether it closed one.
     bool make_room();
-    // Closes the connections that have been in their state for too long, at regular intervals.
+    // Closes, at regular intervals, the connections that have been in their state for too long.
     void sweep();
     void closed(Connection* connection);
 
@@ -84,12 +90,13 @@
     std::unordered_map<Connection*, std::shared_ptr<Connection>> connections_;
     std::unordered_map<RequestId, Connection*> waiting_;
     RequestId last_id_ = 0;
-    bool accepting_ = false;          // the listener is waited for
-    std::optional<Time> full_since_;  // while there is no room for connections in the backlog
+    bool accepting_ = false;          // an asynchronous wait on the listener is pending
+    std::optional<Time> full_since_;  // set while connections in the backlog can't be accepted
     bool winding_down_ = false;
 };
 
-// The request as the policy knows it, or nothing when its headers are not as they must be.
+// Returns the request with its headers parsed for the policy, or nothing when a required header is missing,
+// repeated or invalid, or the method doesn't match the effect of the class.
 std::optional<ClientRequest> understand(HttpRequest message, const Settings& settings);
 
 }  // namespace flaxdoor::net
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -1,5 +1,5 @@
-// The balancer's one clock: Unix time when the program started, carried on by the steady clock, so that it
-// never goes back and discovery's Unix times lie on it as they are.
+// The balancer's clock: the Unix time at which it was created, advanced by the steady clock. It never goes
+// back, and the Unix times that discovery sends can be compared with it directly.
 #pragma once
 
 #include <chrono>
@@ -12,7 +12,9 @@
 public:
     using Steady = std::chrono::steady_clock;
 
+    // Returns the time since the Unix epoch.
     Time now() const { return unix_ + std::chrono::duration_cast<Micros>(Steady::now() - steady_); }
+    // Converts a time of this clock to the steady clock's, as timers need it.
     Steady::time_point steady(Time at) const { return steady_ + (at - unix_); }
 
 private:
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -14,6 +14,7 @@
 
 using nlohmann::json;
 
+// Returns a value as text. Characters that separate values or lines in the flattened form become "_".
 std::string plain(const json& value) {
     std::string text = value.is_string() ? value.get<std::string>() : value.dump();
     for (char& c : text) {
@@ -53,7 +54,7 @@
     return items;
 }
 
-// The classes and tenants by the names that messages hold, which the flattened form may have altered.
+// Restores the names of classes or tenants as requests carry them; flattening may have altered characters.
 template <typename Items>
 void restore_names(Items& items, const json& settings, const char* list) {
     for (std::size_t i = 0; i < items.size(); ++i) items[i].name = settings.at(list).at(i).at("name");
@@ -65,7 +66,7 @@
     std::uint64_t value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, 16);
     if (error != std::errc{} || end != text.data() + text.size()) {
-        throw std::invalid_argument("seed unreadable");
+        throw std::invalid_argument("seed is not a 64-bit hexadecimal number");
     }
     return value;
 }
@@ -86,7 +87,8 @@
     const char* const last = text.data() + text.size();
     const auto [end, bad] =
         std::from_chars(colon == std::string::npos ? last : text.data() + colon + 1, last, port);
-    if (error || bad != std::errc{} || end != last) throw std::invalid_argument("no address: " + text);
+    if (error || bad != std::errc{} || end != last)
+        throw std::invalid_argument("not an IPv4 address and port: " + text);
     return {address, port};
 }
 
@@ -117,7 +119,7 @@
 Config load_config(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
     std::ostringstream text;
-    if (!file || !(text << file.rdbuf())) throw std::runtime_error("can't be read");
+    if (!file || !(text << file.rdbuf())) throw std::runtime_error("cannot read the file");
     return parse_config(text.str());
 }
 
--- a/src/net/config.h
+++ b/src/net/config.h
@@ -1,4 +1,4 @@
-// The configuration as the platform hands it over: JSON in, Settings and addresses out.
+// The configuration file: parses the platform's JSON into Settings, addresses and limits.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -13,6 +13,7 @@
 
 namespace flaxdoor::net {
 
+// The parsed configuration file. The keys are in the comments where they differ from the fields' names.
 struct Config {
     std::string name;
     Settings settings;
@@ -21,20 +22,24 @@
     boost::asio::ip::tcp::endpoint discovery;
     std::size_t sockets = 1024;
 
-    // As the settings name them, in their order: what messages hold are these names.
+    // The fields of a load report in the settings' order, under the names that load reports use.
     std::vector<std::string> report_fields;
     ListNames names;
     List known;
 };
 
-// Throws std::runtime_error or std::invalid_argument, saying in one line what is missing or can't be read.
+// Parses the text of a configuration. Throws a std::exception whose message is one line that names what is
+// missing or invalid: std::invalid_argument or std::runtime_error, or one of the JSON library's.
 Config parse_config(std::string_view text);
+// Reads and parses a configuration file. Throws std::runtime_error when the file can't be read, and whatever
+// parse_config() throws.
 Config load_config(const std::string& path);
 
-// Nested JSON as the lines path=value that the simulator's wire has, for the one reader of settings.
+// Flattens nested JSON to lines of the form path=value, as on the simulator's wire, so that one parser reads
+// the settings of both.
 std::string flatten(const nlohmann::json& settings);
 
-// a.b.c.d:port
+// Parses an IPv4 address and port, "a.b.c.d:port". Throws std::invalid_argument on anything else.
 boost::asio::ip::tcp::endpoint parse_endpoint(const std::string& text);
 
 }  // namespace flaxdoor::net
--- a/src/net/host.cpp
+++ b/src/net/host.cpp
@@ -12,23 +12,24 @@
 
 using std::chrono::milliseconds;
 
-// A client counts its time from its send to its receipt of the answer: what passes on both ways is unseen.
+// A client measures from sending its request to receiving the response. This process sees neither the way of
+// the request to it nor the way of the response back, so this much is taken off the client's budget.
 constexpr Micros unseen = milliseconds(4);
-// Of that, what is left for the way back when the last guard has to answer.
+// The part of it that is kept for the way back when the host itself answers a request at its deadline.
 constexpr Micros way_back = milliseconds(2);
-// New connections keep coming for up to 0.4 s after SIGTERM.
+// New connections keep arriving for up to 0.4 s after SIGTERM.
 constexpr auto still_coming = milliseconds(450);
 constexpr auto drain_poll = milliseconds(10);
-// SIGKILL comes no sooner after SIGTERM than the longest deadline, or this where it is longer, and
-// kill_after.
+// SIGKILL follows SIGTERM no sooner than after the longest deadline of a class, but at most this long, plus
+// the delay below.
 constexpr Micros kill_longest = std::chrono::seconds(3);
 constexpr Micros kill_after = milliseconds(700);
-// Before it: all requests have their answer, and the program ends.
+// Times before SIGKILL: by the first all requests have their response, by the second the program has ended.
 constexpr Micros last_answer = milliseconds(150), last_moment = milliseconds(50);
 constexpr auto figures_gap = std::chrono::seconds(2);
-// Between two calls for a pushed list, before jitter.
+// Bounds of the delay before a failed watch on a pushed list is started again, before jitter.
 constexpr Micros rewatch_least = milliseconds(20), rewatch_most = milliseconds(500);
-// Descriptors for what is neither a client's nor an upstream's.
+// Descriptors reserved for everything but client and upstream connections.
 constexpr std::size_t spare_sockets = 32;
 
 std::size_t sockets_of(const Config& config) {
@@ -38,8 +39,9 @@
     return std::max<std::size_t>(sockets, spare_sockets + 4) - spare_sockets;
 }
 
-// The agent that pushes lists answers at once: a call to it that hears nothing is made anew early, as the
-// policy uses a pushed list for as long as it has no newer one.
+// Returns how often a silent discovery call may be checked before it is given up. Where lists are pushed the
+// agent answers at once, so a silent call is given up and repeated early: the policy goes on using a pushed
+// list until it has a newer one.
 int checks_of(const Settings& settings) { return settings.must_ask_list ? checks_most : 0; }
 
 HttpResponse refusal(Micros retry_after) {
@@ -87,8 +89,7 @@
     net::log("listening");
 }
 
-// Neither the policy nor what it asked for is ever entered again from within: events that come up meanwhile
-// wait their turn here.
+// Prevents re-entrant calls of the policy and of its actions: events that arise meanwhile are queued.
 void Host::handle(std::function<void(Time)> event) {
     events_.push_back(std::move(event));
     if (handling_) return;
@@ -119,7 +120,8 @@
     Open& open = found->second;
     const AttemptKey attempt{request, open.attempts++};
     ++open.in_flight;
-    // Nothing goes out for a request that has ended or whose client has gone, nor more often than allowed.
+    // Sends nothing for a request that is completed or whose client has disconnected, nor more attempts than
+    // are allowed.
     clients_.notice_end(request);
     if (open.answered || attempt.number >= config_.settings.max_attempts) {
         AttemptResult moot;
@@ -171,7 +173,8 @@
     actions_.push_back([=, this] { upstreams_.close_idle(upstream); });
 }
 
-// The policy sets a probe no limit: one that takes longer than any class may tells that none can be served.
+// The policy sets no time limit for a probe. One that takes longer than the longest aim of a class shows that
+// the upstream can serve no class in time.
 void Host::probe(UpstreamId upstream) {
     actions_.push_back([=, this] {
         Micros longest{};
@@ -181,8 +184,10 @@
     });
 }
 
-// Not allowed where this balancer serves.
-void Host::tell(std::optional<int>, std::string_view) { net::log("fault: the policy wrote to its peers"); }
+// Messages to other balancers are not allowed where this program runs.
+void Host::tell(std::optional<int>, std::string_view) {
+    net::log("error: the policy sent a message to its peers, which is not allowed; message dropped");
+}
 
 void Host::log(std::string_view line) { net::log(line); }
 
@@ -209,13 +214,14 @@
     const auto found = open_.find(request);
     if (found == open_.end() || found->second.answered) return;
     found->second.answered = true;
-    // Guards against a connection that comes up after the client has gone, where nothing may be cancelled.
+    // Prevents an attempt from being sent on a connection that is established after the client has
+    // disconnected, where sent attempts may not be cancelled.
     upstreams_.withdraw([=](AttemptKey attempt, UpstreamId) { return attempt.request == request; });
     handle([=, this](Time now) { policy_.on_client_gone(now, request); });
     forget_if_over(request);
 }
 
-// The first 200 goes on before the policy hears of it.
+// Forwards the first successful response to the client before the policy is notified of it.
 void Host::on_attempt_result(AttemptResult result) {
     const RequestId request = result.attempt.request;
     const auto found = open_.find(request);
@@ -240,7 +246,8 @@
     handle([this, end](Time now) { policy_.on_attempt_end(now, end); });
 }
 
-// Its client may have gone meanwhile, and the news of it be next in the loop.
+// The client may have disconnected while the connection was being established, with the event still queued in
+// the loop: the attempt is then withdrawn before its first byte is sent.
 void Host::on_connection(AttemptKey attempt) { clients_.notice_end(attempt.request); }
 
 void Host::on_probe_result(ProbeResult result) {
@@ -265,8 +272,8 @@
         if (u.entry.state == UpstreamState::gone) upstreams_.close_idle(u.entry.id);
         entries.push_back(u.entry);
     }
-    // Guards against a connection that comes up after its upstream has been told to drain: what was sent
-    // there and has not gone out goes elsewhere.
+    // Prevents an attempt from being sent on a connection that is established after its upstream has begun
+    // to drain or left: attempts not yet written are withdrawn, so that the policy sends them elsewhere.
     upstreams_.withdraw([&](AttemptKey, UpstreamId upstream) {
         const auto found = std::find_if(entries.begin(), entries.end(),
                                         [&](const UpstreamEntry& e) { return e.id == upstream; });
@@ -278,13 +285,14 @@
 void Host::on_list_failed(ListFailure failure) {
     handle([this, kind = kind_of(failure)](Time now) { policy_.on_list(now, kind, {}); });
     if (failure == ListFailure::silent) return watch_again(Micros{0});
-    // What the agent has counts as told whether or not a watch stands: the list is back well within the
-    // grace.
+    // The drain grace of an upstream starts when the agent has the list that says so, whether or not a watch
+    // is open. The delay is therefore kept well below the grace.
     const Micros gap = std::clamp<Micros>(config_.settings.drain_grace / 8, rewatch_least, rewatch_most);
     watch_again(gap + gap * (std::random_device{}() % 1000) / 1000);
 }
 
-// Where lists are pushed the policy does not ask, and the agent on this machine costs nothing.
+// Restarts the watch where lists are pushed: the policy doesn't ask for them there, and asking the agent on
+// this machine costs nothing. Elsewhere the policy decides when to ask.
 void Host::watch_again(Micros gap) {
     if (config_.settings.must_ask_list) return;
     rewatch_.expires_after(gap);
@@ -309,7 +317,8 @@
     });
 }
 
-// What is due by now. Timers that are set meanwhile come in a later turn, even when they are due at once.
+// Runs the timers that are due by now. Timers that are set meanwhile run later, even those that are due at
+// once.
 void Host::run_timers() {
     std::vector<Timer> due;
     for (const Time now = clock_.now(); !timers_.empty() && timers_.top().at <= now; timers_.pop()) {
@@ -325,11 +334,11 @@
     if (!timers_.empty()) arm();
 }
 
-// The last guard: no client waits in vain, whatever went wrong before.
+// The last safeguard: every client gets a response by its deadline, whatever went wrong before.
 void Host::answer_overdue(RequestId request, Time now) {
     const auto found = open_.find(request);
     if (found == open_.end() || found->second.answered) return;
-    net::log("fault: request " + std::to_string(request) + " was not answered by its deadline");
+    net::log("error: request " + std::to_string(request) + " had no response by its deadline; sending 504");
     give_up(request, now);
 }
 
@@ -340,14 +349,15 @@
 
 void Host::reconfigure(const Config& config) {
     if (drained_) return;
-    net::log("configuration read anew");
+    net::log("configuration reloaded");
     if (!discovery_.move_to(config.discovery)) return;
-    // Guards against news missed while a gap after a failed call to the old address is waited out.
+    // Prevents changes from being missed while the back-off after a failed call to the old address lasts.
     handle([this](Time now) { policy_.on_list(now, ListKind::moved, {}); });
     watch_again(Micros{0});
 }
 
-// For whoever looks into a bad day: a line every few seconds in which there was work.
+// Logs statistics of attempts and connections for the analysis of incidents: one line per interval in which
+// there was any traffic.
 void Host::log_figures() {
     if (const auto line = upstreams_.figures(); !line.empty()) net::log(line);
     figures_.expires_after(figures_gap);
@@ -373,9 +383,9 @@
     });
 }
 
-// Guards against a request lost at the end: one that is half here, or not yet read, is taken and answered
-// too, and one that has longer than is left is answered while that is possible. A client that never ends its
-// own is not waited for.
+// Ends the program without losing a request: one that is only partly received, or not yet read, is still
+// served, and one whose deadline lies beyond the end is answered while that is possible. A client that never
+// closes its connection is not waited for.
 void Host::wind_down() {
     if (clock_.now() >= answer_by_) {
         std::vector<RequestId> waiting;
--- a/src/net/host.h
+++ b/src/net/host.h
@@ -1,5 +1,5 @@
-// The policy's host: what happens on sockets becomes its events, what it asks for is done on sockets. The
-// only place that knows clients, upstreams and discovery.
+// Runs the policy on real sockets: translates client, upstream and discovery events into calls of the policy,
+// and carries out the policy's actions. The only module that uses clients, upstreams and discovery together.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -24,40 +24,44 @@
 
 class Host final : private Actions, private ClientEvents, private UpstreamEvents, private DiscoveryEvents {
 public:
+    // Starts listening for clients. `loop` must outlive the host and run on one thread.
     // Throws std::invalid_argument when the settings contradict themselves, and boost::system::system_error
-    // when the address can't be listened on.
+    // when listening on the address fails.
     Host(boost::asio::io_context& loop, Config config);
 
     boost::asio::ip::tcp::endpoint address() const { return clients_.address(); }
 
-    // Takes over what may change while the program runs: the address of discovery.
+    // Applies the one part of a configuration that may change while the program runs: the address of
+    // discovery.
     void reconfigure(const Config& config);
 
-    // Serves on for a while, then answers what is held and stops the loop.
+    // Starts the shutdown after SIGTERM: keeps accepting requests for a short time, then completes the open
+    // ones and stops the event loop.
     void drain();
     bool drained() const { return drained_; }
 
 private:
-    // A request until it is answered and all of its attempts have ended.
+    // A request, kept until it is completed and all of its attempts have ended.
     struct Open {
         HttpRequest message;
         Time deadline{};
         int attempts = 0;
         int in_flight = 0;
-        bool answered = false;
+        bool answered = false;  // a response has been given, or the client has disconnected
     };
 
     struct Timer {
         Time at{};
         std::uint64_t order = 0;
-        bool guard = false;       // of the request that `value` names, else the policy's
-        std::uint64_t value = 0;  // a request's id, or the policy's token
+        bool guard = false;       // the deadline of a request, else a timer of the policy
+        std::uint64_t value = 0;  // the request's id, or the policy's token
         bool operator>(const Timer& other) const {
             return at != other.at ? at > other.at : order > other.order;
         }
     };
 
-    // Events run one after another, each followed by the actions that it caused, in order.
+    // Runs the event, or queues it while another is running. Each event is followed by the actions that it
+    // caused, in order.
     void handle(std::function<void(Time)> event);
 
     void submit(RequestId request, UpstreamId upstream, Micros timeout, Time send_by) override;
@@ -114,11 +118,11 @@
     boost::asio::steady_timer drain_;
     boost::asio::steady_timer figures_;
     bool draining_ = false;
-    Time answer_by_{};  // while draining: SIGKILL comes soon after
+    Time answer_by_{};  // while draining: all responses must be sent by then, shortly before SIGKILL
     Time drain_end_{};
     bool drained_ = false;
 
-    Policy policy_;  // last: it asks for timers while it is made
+    Policy policy_;  // last: its constructor sets timers, which use the members above
 };
 
 }  // namespace flaxdoor::net
--- a/tests/client_limits_test.cpp
+++ b/tests/client_limits_test.cpp
@@ -1,5 +1,6 @@
-// Idle clients at the limit of connections: which of them may be closed for a new client, what becomes of new
-// clients while none may, and that descriptors are kept back for upstreams and discovery.
+// Behaviour at the limit of client connections: which idle connection is closed for a new client, what
+// happens to new clients while none may be closed, and that descriptors stay reserved for upstreams and
+// discovery.
 #include <gtest/gtest.h>
 #include <sys/resource.h>
 
@@ -18,17 +19,17 @@
 using std::chrono::seconds;
 using Steady = std::chrono::steady_clock;
 
-// The balancer keeps 32 descriptors for itself; clients and upstreams have half of the others each.
+// The balancer reserves 32 descriptors; clients and upstreams get half of the others each.
 constexpr std::size_t sockets = 44;
 constexpr std::size_t client_connections = 6;
-// A connection that has been idle for less must not be closed.
+// A connection that has been idle for less time must not be closed.
 constexpr auto min_idle = seconds(2);
-// A peer that sends no request is answered or closed within this.
+// A peer that sends no request must get a response or a close within this time.
 constexpr auto peer_deadline = seconds(3);
 
 using Wires = std::vector<std::shared_ptr<PeerConnection>>;
 
-// Clients that have had an answer and keep their connections.
+// Returns clients that have had one response each and keep their connections open.
 Wires idle_clients(HostHarness& s, std::size_t count) {
     Wires clients;
     for (std::size_t i = 0; i < count; ++i) {
@@ -71,7 +72,7 @@
     return size.str() + "\r\n" + text + "\r\n";
 }
 
-// Lowers the limit of descriptors that the process reads, for as long as it lives.
+// Lowers the descriptor limit of the process for the lifetime of this object.
 class LoweredDescriptorLimit {
 public:
     explicit LoweredDescriptorLimit(rlim_t limit) {
@@ -88,8 +89,8 @@
     rlimit before_{};
 };
 
-// Of two idle connections only the one that has been idle for 2 s makes room. The other one does so when its
-// turn has come.
+// Of two idle connections only the one that has been idle for 2 s is closed for a new client. The other one
+// is closed for the next client, after its own 2 s.
 TEST(ClientLimits, OnlyAConnectionIdleForTwoSecondsMakesRoom) {
     HostHarness s(1);
     s.config["limits"]["sockets"] = 36;  // two of them for clients
@@ -121,7 +122,7 @@
     EXPECT_FALSE(newcomer.first->peer_closed);
 }
 
-// A client that comes when one has been idle for long enough is served on its first connection.
+// A client that connects when another has been idle for long enough is served on its first connection.
 TEST(ClientLimits, AConnectionIdleForLongerMakesRoomAtOnce) {
     HostHarness s(1);
     s.config["limits"]["sockets"] = sockets;
@@ -138,8 +139,8 @@
     expect_served(s, Wires(idle.begin() + 1, idle.end()));
 }
 
-// One new client takes the place of one connection, also where several have been idle for long enough by the
-// time at which it is let in.
+// One new client replaces only one connection, even where several have been idle for long enough by the time
+// at which it is accepted.
 TEST(ClientLimits, ANewClientThatWaitsClosesOneConnection) {
     HostHarness s(1);
     s.config["limits"]["sockets"] = sockets;
@@ -153,7 +154,7 @@
     expect_served(s, idle);
 }
 
-// While none may make room, new connections are shut in time, and the balancer rests in between.
+// While no idle connection may be closed, new connections are closed in time, without a busy loop.
 TEST(ClientLimits, NewClientsAreShutInTimeWithoutSpinning) {
     constexpr std::size_t most_handlers = 200;
     HostHarness s(1);
@@ -172,8 +173,8 @@
     EXPECT_TRUE(none_ended(idle));
 }
 
-// Idle clients hold all the connections there are for clients, and more come, while discovery refuses
-// connections. Clients with an open connection are served, and discovery is heard when it is back.
+// Idle clients hold all client connections, and more clients connect, while discovery refuses connections.
+// Clients with an open connection are still served, and lists arrive once discovery is back.
 TEST(ClientLimits, IdleClientsLeaveDescriptorsForUpstreamsAndDiscovery) {
     constexpr std::size_t crowd_size = 40;
     HostHarness s(2);
@@ -198,7 +199,7 @@
     EXPECT_EQ(status_code(s.await_response(*client)), 200);
     EXPECT_TRUE(discovery.connections.empty());
 
-    // The balancer closes its kept connection to an upstream that discovery says has left.
+    // The balancer closes its idle connection to an upstream that discovery lists as left.
     const std::size_t left = s.upstreams[0]->connections.empty() ? 1 : 0;
     json news = s.list_json(9, false);
     news["hosts"] = {s.upstream_json(left, "left")};
@@ -216,7 +217,7 @@
     EXPECT_EQ(s.upstreams[1 - left]->connections.size(), 1U);
 }
 
-// Each client connection that is closed makes room for one new client.
+// Each client connection that closes frees one for a new client.
 TEST(ClientLimits, NewClientsAreServedOnceOthersClose) {
     HostHarness s(1);
     s.config["limits"]["sockets"] = sockets;
@@ -236,7 +237,7 @@
     expect_served(s, Wires(idle.begin() + leaving, idle.end()));
 }
 
-// The process's own limit holds where it is below that of the configuration.
+// The descriptor limit of the process applies where it is below the configured one.
 TEST(ClientLimits, TheDescriptorLimitOfTheProcessHolds) {
     HostHarness s(1);
     {
@@ -249,9 +250,10 @@
     EXPECT_TRUE(none_ended(idle));
 }
 
-// Guards against a request that is lost as its connection, at rest for longer than a request may take, is
-// looked at in the turn in which it has come and is not yet read. The loop is held up for longer than the gap
-// between two looks, so that this one and the request come in one turn, in either order of their timers.
+// Guards against losing a request that arrives on a connection idle for longer than the request timeout: the
+// sweep for overdue connections runs after the request has arrived and before it is read. The loop is blocked
+// for longer than the sweep interval, so that the sweep and the request fall into one run of the loop, in
+// either order of their timers.
 TEST(ClientLimits, ARequestThatCrossesALookAtAConnectionLongAtRestIsAnswered) {
     constexpr auto longer_than_a_request = std::chrono::milliseconds(11000);
     constexpr auto longer_than_between_looks = std::chrono::milliseconds(300);
--- a/tests/message_forms_test.cpp
+++ b/tests/message_forms_test.cpp
@@ -1,5 +1,5 @@
-// Messages in pieces and in all the forms that the protocol allows, over loopback sockets: requests of
-// clients, answers and refusals of upstreams.
+// Messages that arrive in small segments and in every form that HTTP/1.1 allows, over loopback sockets:
+// client requests, upstream responses and rejections.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -18,7 +18,7 @@
     return text;
 }
 
-// Each piece has been read by the time the next one is written.
+// Sends the text in segments of `size` bytes; the host reads each before the next one is sent.
 void say_in_pieces(HostHarness& s, PeerConnection& wire, std::string_view text, std::size_t size) {
     for (std::size_t at = 0; at < text.size(); at += size) {
         wire.send(text.substr(at, size));
@@ -39,27 +39,27 @@
         "X-Call-Id: 9b1f\r\nX-Call-Class: book it\r\nX-Budget-Ms: 5000\r\nIdempotency-Key: k7\r\n";
     const std::string plain = line + "Host: api.internal\r\n" + facts;
     return {
-        {"as on the page", plain + "Content-Length: 4\r\n\r\na\r\nb", "a\r\nb"},
-        {"names in small letters",
+        {"as documented", plain + "Content-Length: 4\r\n\r\na\r\nb", "a\r\nb"},
+        {"header names in lower case",
          line + "host: api.internal\r\nx-call-id: 9b1f\r\nx-call-class: book it\r\nx-budget-ms: 5000\r\n"
                 "idempotency-key: k7\r\ncontent-length: 4\r\n\r\nbody",
          "body"},
-        {"names in capitals",
+        {"header names in upper case",
          line + "HOST: api.internal\r\nX-CALL-ID: 9b1f\r\nX-CALL-CLASS: book it\r\nX-BUDGET-MS: 5000\r\n"
                 "IDEMPOTENCY-KEY: k7\r\nCONTENT-LENGTH: 4\r\n\r\nbody",
          "body"},
-        {"no spaces",
+        {"no spaces after the colon",
          line + "Host:api.internal\r\nX-Call-Id:9b1f\r\nX-Call-Class:book it\r\nX-Budget-Ms:5000\r\n"
                 "Idempotency-Key:k7\r\nContent-Length:4\r\n\r\nbody",
          "body"},
-        {"spaces and tabs round values",
+        {"spaces and tabs around values",
          line +
              "Host: \t api.internal\r\nX-Call-Id:  9b1f \t\r\nX-Call-Class:\tbook it \r\nX-Budget-Ms:   5000 "
              " \r\nIdempotency-Key: \tk7\t\r\nContent-Length: \t4 \r\n\r\nbody",
          "body"},
         {"no body, length 0", plain + "Content-Length: 0\r\n\r\n", ""},
         {"one chunk", plain + "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", "body"},
-        {"many chunks, sizes in both cases and with zeros",
+        {"many chunks, sizes in both cases and with leading zeros",
          plain + "Transfer-Encoding: chunked\r\n\r\na\r\n0123456789\r\nB\r\n0123456789a\r\n0002\r\n\r\n\r\n"
                  "0\r\n\r\n",
          "01234567890123456789a\r\n"},
@@ -67,10 +67,8 @@
          plain + "Transfer-Encoding: chunked\r\n\r\n2;n=1\r\nbo\r\n2;q=\"a;b\"\r\ndy\r\n0;last\r\nX-Sum: "
                  "7\r\n\r\n",
          "body"},
-        {"chunked in other letters", plain + "transfer-encoding: Chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n",
-         "body"},
-        {"a client that asks before it sends its body",
-         plain + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\nbody", "body"},
+        {"chunked in mixed case", plain + "transfer-encoding: Chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", "body"},
+        {"Expect: 100-continue", plain + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\nbody", "body"},
     };
 }
 
@@ -95,7 +93,7 @@
             EXPECT_TRUE(s.no_unread_requests()) << form.what;
             EXPECT_EQ(s.upstream_connection_count(), 1U) << form.what;
             client->received.clear();
-            client->send(idempotent_request());  // its end was found: the next request is read as such
+            client->send(idempotent_request());  // parsed separately, as the end of the last one was found
             s.await_request().first->send(ok_response());
             EXPECT_EQ(status_code(s.await_response(*client)), 200) << form.what;
             s.host.reset();
@@ -110,19 +108,19 @@
         bool ends;
     };
     const std::vector<AnswerForm> forms = {
-        {"as on the page", ok_response(), false},
-        {"small letters, no spaces", "HTTP/1.1 200 OK\r\ncontent-length:6\r\n\r\nserved", false},
-        {"capitals, spaces and tabs", "HTTP/1.1 200 OK\r\nCONTENT-LENGTH: \t6 \t\r\n\r\nserved", false},
-        {"no reason", "HTTP/1.1 200 \r\nContent-Length: 6\r\n\r\nserved", false},
+        {"as documented", ok_response(), false},
+        {"lower case, no spaces", "HTTP/1.1 200 OK\r\ncontent-length:6\r\n\r\nserved", false},
+        {"upper case, spaces and tabs", "HTTP/1.1 200 OK\r\nCONTENT-LENGTH: \t6 \t\r\n\r\nserved", false},
+        {"no reason phrase", "HTTP/1.1 200 \r\nContent-Length: 6\r\n\r\nserved", false},
         {"chunks with extensions and a trailer",
          "HTTP/1.1 200 OK\r\nTransfer-Encoding: "
          "chunked\r\n\r\n3;n=\"a;b\"\r\nser\r\n03\r\nved\r\n0\r\nX-Sum: "
          "1\r\n\r\n",
          false},
-        {"chunked in other letters",
+        {"chunked in upper case",
          "HTTP/1.1 200 OK\r\ntransfer-encoding: CHUNKED\r\n\r\n6\r\nserved\r\n0\r\n\r\n", false},
-        {"no length, up to the connection's end", "HTTP/1.1 200 OK\r\n\r\nserved", true},
-        {"behind two interim answers",
+        {"no length, ended by the close of the connection", "HTTP/1.1 200 OK\r\n\r\nserved", true},
+        {"after two interim responses",
          "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + ok_response(), false},
     };
     for (const std::size_t size : {1, 3, 7}) {
@@ -157,7 +155,8 @@
     }
 }
 
-// A reset is not the end of an answer that tells no length: it has failed, and it may have run.
+// A response without a length ends with the close of the connection, not with a reset. After a reset the
+// attempt has failed, and the request may have run.
 TEST(Pieces, AnAnswerWithoutLengthThatIsResetIsNoAnswer) {
     for (const bool unsafe : {true, false}) {
         HostHarness s;
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -1,4 +1,4 @@
-// The real balancer over loopback sockets: what each side sees, and in which order.
+// End-to-end tests of the Host over loopback sockets: what clients, upstreams and discovery observe.
 #include <gtest/gtest.h>
 
 #include "net/upstreams.h"
@@ -42,7 +42,7 @@
     EXPECT_EQ(status_code(s.await_response(*client)), 200);
 }
 
-// The answer leaves before the client gives up, and the attempt that stays silent is given up with it.
+// The response is sent before the client's budget is spent, and the attempt without a response ends with it.
 TEST(Serving, AnswersBeforeTheClientGivesUp) {
     HostHarness s;
     s.start();
@@ -66,7 +66,7 @@
     EXPECT_EQ(s.upstream_connection_count(), 1U);
 }
 
-// Two requests written together are answered one after the other.
+// Two requests that arrive together are served one after the other.
 TEST(Serving, PipelinedRequestsAreTakenInTurn) {
     HostHarness s;
     s.start();
@@ -81,9 +81,9 @@
     }
 }
 
-// -------------------------------------------------------------------------------------- kept connections
+// ------------------------------------------------------------------------------------ connection reuse
 
-// A connection is used again once it has rested: each of the first ones twice before there are many.
+// A connection is reused once its reuse delay has passed. Requests follow one another until that happens.
 TEST(Kept, ReusesAConnection) {
     HostHarness s(1);
     s.start();
@@ -117,8 +117,8 @@
     }
 }
 
-// An end that has come in while a connection was kept is seen before it is used: an unsafe request that were
-// written to it would be lost.
+// A close that arrives while a connection is idle is detected before reuse. An unsafe request written to such
+// a connection would be lost.
 TEST(Kept, NoticesAnEndBeforeReuse) {
     HostHarness s(1);
     s.start();
@@ -127,14 +127,15 @@
     const auto wire = s.await_request().first;
     wire->send(ok_response());
     EXPECT_EQ(status_code(s.await_response(*client)), 200);
-    client->send(at_most_once_request());  // both are there before the host looks at either
+    client->send(
+        at_most_once_request());  // the request and the close below arrive before the host reads either
     wire->close();
     s.await_request().first->send(ok_response());
     EXPECT_EQ(status_code(s.await_response(*client)), 200);
     EXPECT_EQ(s.upstream_connection_count(), 2U);
 }
 
-// Bytes that nobody asked for belong to no later request.
+// Unsolicited bytes on a connection must not become the response to a later request.
 TEST(Kept, DropsAConnectionThatSpeaksUnasked) {
     HostHarness s(1);
     s.start();
@@ -175,7 +176,7 @@
     }
 }
 
-// A request that never ran is refused when it is given up, and the client told when to come back.
+// A request that never ran is refused at its deadline, with advice on when to retry where clients heed it.
 TEST(Outcomes, RefusalTellsWhenToComeBack) {
     for (const bool heeded : {true, false}) {
         HostHarness s;
@@ -191,7 +192,7 @@
     }
 }
 
-// What has been written whole may have run: an unsafe request is neither sent again nor refused.
+// A request that was written completely may have run, so an unsafe one is neither retried nor refused.
 TEST(Outcomes, ResetAfterTheLastByteIsNotSentAgain) {
     HostHarness s;
     s.start();
@@ -203,8 +204,8 @@
     EXPECT_EQ(s.upstream_connection_count(), 1U);
 }
 
-// The outcome of one attempt whose answer is `said`, after which the connection ends if it is `cut`.
-Outcome outcome_of(const std::string& said, bool cut) {
+// Returns the outcome of one attempt to which the upstream sends `response`, and then closes if `closes`.
+Outcome outcome_of(const std::string& response, bool closes) {
     struct Sink : net::UpstreamEvents {
         std::optional<Outcome> outcome;
         void on_attempt_result(net::AttemptResult result) override { outcome = result.outcome; }
@@ -220,13 +221,14 @@
     const Time expires = clock.now() + std::chrono::seconds(15);
     upstreams.send({1, 0}, 1, std::move(request), expires, expires);
     const auto wire = s.await_request().first;
-    wire->send(said);
-    if (cut) wire->close();
+    wire->send(response);
+    if (closes) wire->close();
     s.run_until([&] { return sink.outcome.has_value(); });
     return sink.outcome.value_or(Outcome::moot);
 }
 
-// An upstream that answers what can't be read is alive: only a connection that breaks is a reset.
+// An upstream that sends an unparsable response is alive, so the outcome is an error. Only a connection that
+// breaks is a reset.
 TEST(Outcomes, UnreadableAnswersAreErrors) {
     const std::string head = "HTTP/1.1 200 OK\r\n";
     const std::string chunked = head + "Transfer-Encoding: chunked\r\n\r\n";
@@ -281,7 +283,7 @@
                                       std::string(marked ? "X-Rejected: 1\r\n" : "") +
                                       "Content-Length: 0\r\n\r\n");
         if (marked) {
-            s.await_request().first->send(ok_response());  // it goes on to the other upstream
+            s.await_request().first->send(ok_response());  // retried on the other upstream
             EXPECT_EQ(status_code(s.await_response(*client)), 200);
         } else {
             EXPECT_EQ(status_code(s.await_response(*client)), 502);
@@ -309,7 +311,7 @@
     }
 }
 
-// An upstream that was put out is asked how it is, again after a bad answer, and a good one brings it back.
+// An ejected upstream is probed, again after a failed probe, and readmitted after a successful one.
 TEST(Probes, BringAnUpstreamBack) {
     HostHarness s;
     s.config["settings"]["limits"]["may_probe"] = true;
@@ -406,7 +408,7 @@
     }
 }
 
-// One that connects and sends no whole request is let go; a client between two requests is not.
+// A peer that connects and sends no complete request is disconnected; a client between two requests is not.
 TEST(BadInput, PeersThatSendNoRequestAreLetGo) {
     HostHarness s(1);
     s.start();
@@ -424,14 +426,14 @@
 
 // ------------------------------------------------------------------------------------------------- limits
 
-// At the cap a client that has been idle for 2 s makes room for a new one; one that waits for its answer
-// never does.
+// At the connection limit a client that has been idle for 2 s is closed for a new one. A client that waits
+// for its response never is.
 TEST(Limits, IdleClientsMakeRoom) {
     HostHarness s(1);
     s.config["limits"]["sockets"] = 36;  // two of them for clients
     s.start();
     const auto busy = s.connect_client();
-    busy->send(at_most_once_request());  // sent once only: its attempt is not given up early
+    busy->send(at_most_once_request());  // unsafe, so its attempt is not ended early for a retry
     const auto wire = s.await_request().first;
     const auto idle = s.connect_client();
     const auto idle_not_before = std::chrono::steady_clock::now();
@@ -446,8 +448,8 @@
     EXPECT_EQ(status_code(s.await_response(*busy)), 200);
 }
 
-// A connection that had to wait because all were busy is taken as soon as one of them closes, and the one
-// that is idle again stays open.
+// A connection that waits in the backlog because all others are busy is accepted as soon as one of them
+// closes. The one that has become idle meanwhile stays open.
 TEST(Limits, ANewClientWaitsOnlyUntilOneCloses) {
     HostHarness s(1);
     s.config["limits"]["sockets"] = 36;  // two of them for clients
@@ -459,7 +461,7 @@
     const auto held = s.await_request();
     const auto third = s.connect_client();
     third->send(ready_request());
-    s.loop.poll();  // it has come, and there is no room
+    s.loop.poll();  // it is in the backlog, with no connection to spare
     served.first->send(ok_response());
     s.run_until([&] { return !first->received.empty() || !second->received.empty(); });
     EXPECT_TRUE(third->received.empty());
@@ -472,7 +474,7 @@
 
 // ---------------------------------------------------------------------------------------------- readiness
 
-// After a restart readiness waits for nothing: not for discovery, whatever it does, and not for a list.
+// After a start, readiness depends neither on the state of discovery nor on having a list.
 TEST(Ready, IsToldAtOnceWhateverDiscoveryDoes) {
     for (const std::string discovery : {"down", "silent", "refusing"}) {
         for (const bool known : {false, true}) {
@@ -494,8 +496,8 @@
 
 // -------------------------------------------------------------------------------------------------- drain
 
-// After SIGTERM requests are still taken for a while, on old connections and on new ones; then what is held
-// is answered, with the connection's end told, and the loop ends.
+// During a drain requests are accepted for a while, on existing and on new connections. Then the open ones
+// are answered with "Connection: close", and the loop stops.
 TEST(Drain, ServesWhatComesAndThenEnds) {
     HostHarness s;
     s.start();
@@ -520,7 +522,7 @@
     s.run_until([&] { return s.host->drained(); });
 }
 
-// A request that is only half here when idle connections are closed is still taken and answered.
+// A request that is only partly received when idle connections are closed is still accepted and answered.
 TEST(Drain, WaitsForARequestThatIsComing) {
     HostHarness s;
     s.start();
@@ -541,8 +543,7 @@
     s.run_until([&] { return s.host->drained(); });
 }
 
-// ----------------------------------------------------------------------------------------------
-// configuration
+// ------------------------------------------------------------------------------------------ configuration
 
 TEST(Config, FlattensToTheWiresLines) {
     const json settings = {{"a", {{"b", 1.5}, {"c", true}}},
@@ -562,7 +563,8 @@
     EXPECT_EQ(config.seed, 0x8c1f30d27a5be964ULL);
 }
 
-// A customer may have no zones, have upstreams in more than it names, or wait no longer than its aim.
+// Settings may name no zones, upstreams may be in zones that the settings don't name, and a deadline may be
+// shorter than the aim.
 TEST(Config, UnusualSettingsAreServed) {
     for (const std::string what : {"no zones", "no zone at all", "another zone", "aim beyond deadline"}) {
         HostHarness s(1);
--- a/tests/rubbish_test.cpp
+++ b/tests/rubbish_test.cpp
@@ -1,5 +1,5 @@
-// Peers that send no proper request: each is owed an error or a close within the operators' times, and none
-// reaches an upstream. Sockets are on loopback.
+// Peers that send invalid or incomplete requests, over loopback sockets: each must get an error or a close
+// within the operators' time limits, and nothing of it may reach an upstream.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 
 using Steady = std::chrono::steady_clock;
 
-// From connecting on, and as long as there are 60 MB to send.
+// Time from the connect to an error or a close: for a short input, and where 60 MB are sent.
 constexpr std::chrono::seconds rubbish_limit(3), flood_limit(6);
 
 std::vector<std::string> rubbish() {
@@ -54,7 +54,7 @@
     return wire.peer_closed || status_code(wire.received) >= 400;
 }
 
-// One of them sends a byte at a time for as long as it may.
+// One of the peers keeps sending a byte at a time until it is disconnected.
 TEST(Rubbish, GetsAnErrorOrACloseInTimeAndReachesNoUpstream) {
     HostHarness s;
     s.start();
@@ -82,7 +82,8 @@
     }
 }
 
-// Where such a body ends is not known, whatever its length says: what follows could be taken for a request.
+// The end of such a body is unknown, whatever Content-Length says. If the request were accepted, what follows
+// the body could be parsed as another request (request smuggling).
 TEST(Rubbish, ABodyInAnUnknownTransferCodingIsRefused) {
     HostHarness s;
     s.start();
@@ -98,7 +99,7 @@
     EXPECT_GE(status_code(client->received), 400);
 }
 
-// A peer that goes on sending whatever it is answered.
+// A peer that keeps sending whatever response it gets.
 class Flood {
 public:
     Flood(HostHarness& s, std::string text) : socket_(s.loop), text_(std::move(text)) {
@@ -136,14 +137,14 @@
         Flood flood(s, beginning + much);
         s.run_until([&] { return flood.refused_or_closed(); });
         EXPECT_LT(Steady::now() - began, flood_limit) << beginning;
-        const auto client = s.connect_client();  // others are served meanwhile
+        const auto client = s.connect_client();  // other clients are served meanwhile
         client->send(idempotent_request());
         s.await_request().first->send(ok_response());
         EXPECT_EQ(status_code(s.await_response(*client)), 200) << beginning;
         EXPECT_EQ(s.upstream_connection_count(), 1U) << beginning;
         s.host.reset();
         s.loop.restart();
-        s.loop.poll();  // the flood's own handlers end before it does
+        s.loop.poll();  // runs the handlers that refer to `flood` before it is destroyed
     }
 }
 }  // namespace
--- a/tests/standing_terms_test.cpp
+++ b/tests/standing_terms_test.cpp
@@ -284,7 +284,7 @@
     }
     program.configure(whole);
     program.signal(SIGHUP);
-    program.expect_line("configuration read anew");
+    program.expect_line("configuration reloaded");
     s.run_until([&] { return asked(moved, 1); });
     program.signal(SIGTERM);
     program.expect_line("drained");
