--- a/src/net/host.cpp
+++ b/src/net/host.cpp
@@ -1,11 +1,11 @@
-#include "net/host.h"
-
 #include <sys/resource.h>
 
 #include <algorithm>
 #include <cstdio>
 #include <random>
 
+#include "net/host.h"
+
 namespace flaxdoor::net {
 
 namespace {
@@ -42,7 +42,7 @@
 // Returns how often a silent discovery call may be checked before it is given up. Where lists are pushed the
 // agent answers at once, so a silent call is given up and repeated early: the policy goes on using a pushed
 // list until it has a newer one.
-int checks_of(const Settings& settings) { return settings.must_ask_list ? checks_most : 0; }
+int checks_of(const Settings& settings) { return settings.must_request_list ? checks_most : 0; }
 
 HttpResponse refusal(Micros retry_after) {
     HttpResponse response(http::status::service_unavailable, 11);
@@ -73,7 +73,8 @@
       config_(std::move(config)),
       clients_(loop, clock_, config_.settings, sockets_of(config_) / 2, *this),
       upstreams_(loop, clock_,
-                 {config_.settings.connect_timeout, config_.settings.idle_close, sockets_of(config_) / 2},
+                 {config_.settings.connect_timeout, config_.settings.connection_idle_timeout,
+                  sockets_of(config_) / 2},
                  config_.report_fields, *this),
       discovery_(loop, config_.discovery, config_.names, *this, checks_of(config_.settings)),
       timer_(loop),
@@ -83,7 +84,7 @@
       policy_(config_.settings, config_.seed, clock_.now(), *this) {
     discovery_.start_from(config_.known.version);
     handle([this](Time now) { tell_policy(now, ListKind::cached, config_.known); });
-    if (!config_.settings.must_ask_list) discovery_.watch();
+    if (!config_.settings.must_request_list) discovery_.watch();
     clients_.listen(config_.listen);
     log_figures();
     net::log("listening");
@@ -127,7 +128,7 @@
         AttemptResult moot;
         moot.attempt = attempt;
         moot.upstream = upstream;
-        moot.outcome = Outcome::moot;
+        moot.outcome = Outcome::not_sent;
         on_attempt_result(std::move(moot));
         return;
     }
@@ -178,14 +179,14 @@
 void Host::probe(UpstreamId upstream) {
     actions_.push_back([=, this] {
         Micros longest{};
-        for (const auto& c : config_.settings.classes) longest = std::max(longest, c.aim);
-        const bool reported = config_.settings.reports == ReportSource::probes;
+        for (const auto& c : config_.settings.classes) longest = std::max(longest, c.latency_target);
+        const bool reported = config_.settings.report_source == ReportSource::probes;
         upstreams_.probe(upstream, reported ? "/status/load" : "/health", clock_.now() + longest);
     });
 }
 
 // Messages to other balancers are not allowed where this program runs.
-void Host::tell(std::optional<int>, std::string_view) {
+void Host::send_message(std::optional<int>, std::string_view) {
     net::log("error: the policy sent a message to its peers, which is not allowed; message dropped");
 }
 
@@ -237,8 +238,8 @@
     end.request = request;
     end.attempt = result.attempt.number;
     end.outcome = result.outcome;
-    end.closed = found->second.answered;
-    end.doubtful = result.doubtful;
+    end.request_done = found->second.answered;
+    end.possible_duplicate = result.doubtful;
     end.latency = result.latency;
     end.upstream = result.upstream;
     end.report = std::move(result.report);
@@ -269,7 +270,7 @@
     std::vector<UpstreamEntry> entries;
     for (const auto& u : list.upstreams) {
         upstreams_.set_address(u.entry.id, u.address);
-        if (u.entry.state == UpstreamState::gone) upstreams_.close_idle(u.entry.id);
+        if (u.entry.state == UpstreamState::removed) upstreams_.close_idle(u.entry.id);
         entries.push_back(u.entry);
     }
     // Prevents an attempt from being sent on a connection that is established after its upstream has begun
@@ -294,7 +295,7 @@
 // Restarts the watch where lists are pushed: the policy doesn't ask for them there, and asking the agent on
 // this machine costs nothing. Elsewhere the policy decides when to ask.
 void Host::watch_again(Micros gap) {
-    if (config_.settings.must_ask_list) return;
+    if (config_.settings.must_request_list) return;
     rewatch_.expires_after(gap);
     rewatch_.async_wait([this](error_code error) {
         if (!error) discovery_.watch();
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -368,7 +368,7 @@
         return sink.outcome && s.upstream_connection_count() == 1 &&
                s.upstreams[0]->connections[0]->peer_closed;
     });
-    EXPECT_EQ(sink.outcome, Outcome::moot);
+    EXPECT_EQ(sink.outcome, Outcome::not_sent);
     EXPECT_TRUE(s.no_unread_requests());
 }
 
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -1,9 +1,8 @@
 // The discovery client against a scripted discovery on loopback: which lists are taken, and when it calls.
-#include "net/discovery.h"
-
 #include <gtest/gtest.h>
 
 #include "discovery_peers.h"
+#include "net/discovery.h"
 
 namespace flaxdoor::test {
 
@@ -340,7 +339,7 @@
     net::Discovery client(s.loop, s.discovery.address(), {}, reports);
     client.watch();
     s.run_until([&] { return asked(s.discovery, 1); });
-    asio::steady_timer turn(s.loop, watch_silence + std::chrono::seconds(1));
+    asio::steady_timer turn(s.loop, watch_idle_timeout + std::chrono::seconds(1));
     turn.async_wait([&](auto) { s.discovery.connections[0]->send(watch_head + chunk("\n")); });
     s.run_until([&] { return !reports.failures.empty() || !reports.lists.empty(); });
     EXPECT_TRUE(reports.failures.empty());
@@ -550,7 +549,7 @@
         }
         if (half) wire->send(chunk(list_of(s, 12, false, json::array({s.upstream_json(0)})).substr(0, 40)));
         settle(s);
-        asio::steady_timer limit(s.loop, watch_silence + std::chrono::seconds(1));
+        asio::steady_timer limit(s.loop, watch_idle_timeout + std::chrono::seconds(1));
         bool late = false;
         limit.async_wait([&](auto) { late = true; });
         s.run_until([&] { return late || asked(s.discovery, 2); });
