--- a/src/net/discovery_call.cpp
+++ b/src/net/discovery_call.cpp
@@ -49,7 +49,7 @@
       check_socket_(loop),
       checks_left_(max_checks),
       timer_(loop) {
-    parser_.header_limit(header_most);
+    parser_.header_limit(max_header_bytes);
     parser_.body_limit(boost::none);  // the body of a watch has no end; `max_object_bytes` limits its objects
     parser_.eager(true);
 }
@@ -103,7 +103,7 @@
     timer_.async_wait([self = shared_from_this(), on_due](error_code error) {
         if (error || self->finished_ || self->timer_.expiry() > std::chrono::steady_clock::now()) return;
         // Guards against a delayed loop: data that has come in the meantime is about to be read.
-        if (self->connected_ && !quiet(self->socket_)) return;
+        if (self->connected_ && !no_input_pending(self->socket_)) return;
         (*self.*on_due)();
     });
 }
@@ -134,7 +134,7 @@
     check_socket_.close(ignored);
     if (!error) return arm_check_or_timeout();
     // The response or the end of the connection has come in the meantime and is about to be read.
-    if (!quiet(socket_)) return;
+    if (!no_input_pending(socket_)) return;
     fail(CallError::reachability_check_failed, error.message());
 }
 
--- a/src/net/upstreams.cpp
+++ b/src/net/upstreams.cpp
@@ -59,9 +59,9 @@
         : owner_(owner), upstream_(upstream), socket_(owner.loop_), timer_(owner.loop_) {}
 
     UpstreamId upstream() const override { return upstream_; }
-    bool has_no_pending_input() override { return buffer_.size() == 0 && quiet(socket_); }
+    bool has_no_pending_input() override { return buffer_.size() == 0 && no_input_pending(socket_); }
     bool has_duplicate_response() override {
-        return has_read_duplicate_response() || begins_answer(peek(socket_));
+        return has_read_duplicate_response() || begins_response(peek_input(socket_));
     }
 
     void connect(const tcp::endpoint& address, AttemptKey attempt, HttpRequest request, Time deadline,
@@ -157,8 +157,8 @@
 
     void reset_parser() {
         parser_.emplace();
-        parser_->header_limit(header_most);
-        parser_->body_limit(body_most);
+        parser_->header_limit(max_header_bytes);
+        parser_->body_limit(max_body_bytes);
         parser_->eager(true);
     }
 
@@ -206,7 +206,7 @@
     // Whether the bytes read after the last response begin another response.
     bool has_read_duplicate_response() const {
         const auto bytes = buffer_.data();
-        return begins_answer({static_cast<const char*>(bytes.data()), bytes.size()});
+        return begins_response({static_cast<const char*>(bytes.data()), bytes.size()});
     }
 
     void on_read(error_code read_error) {
--- a/tests/connection_rest_test.cpp
+++ b/tests/connection_rest_test.cpp
@@ -43,8 +43,8 @@
     std::size_t idle_count = 1;
     Micros duplicate_after = std::chrono::milliseconds(2);  // after the first response, or later
     std::string first_part;  // part of the first response sent a whole reuse delay before its end
-    std::string first_response = ok(first_body);
-    std::string duplicate = ok(duplicate_body);
+    std::string first_response = ok_response(first_body);
+    std::string duplicate = ok_response(duplicate_body);
     std::size_t next_request_count = 1;  // requests sent during the reuse delay
     Micros next_after{};                 // after the first response; 0: as soon as all have been read
     Micros loop_blocked_for{};  // how long the loop is blocked after the first responses were written
@@ -124,9 +124,10 @@
     return out;
 }
 
-using Connections = std::vector<std::shared_ptr<Wire>>;
+using Connections = std::vector<std::shared_ptr<PeerConnection>>;
 
-std::optional<std::size_t> index_of(const Connections& connections, const std::shared_ptr<Wire>& connection) {
+std::optional<std::size_t> index_of(const Connections& connections,
+                                    const std::shared_ptr<PeerConnection>& connection) {
     const auto found = std::find(connections.begin(), connections.end(), connection);
     if (found == connections.end()) return std::nullopt;
     return static_cast<std::size_t>(found - connections.begin());
@@ -147,17 +148,17 @@
             if (kind == ExchangeKind::requests) send(first_request + i);
         }
         while (used_connections.size() < count) {
-            used_connections.push_back(stage.request().first);
+            used_connections.push_back(stage.await_request().first);
             ASSERT_TRUE(used_connections.back());
         }
-        ASSERT_EQ(stage.connections(), count);
+        ASSERT_EQ(stage.upstream_connection_count(), count);
     }
 
     // Responds on every connection; returns once all responses were read and all connections are idle.
     void respond_on_all(const std::string& response, Micros loop_blocked_for = {}) {
         send_first_responses(response);
         if (loop_blocked_for > Micros{0}) block_loop(loop_blocked_for);
-        stage.until([&] { return results.count() == used_connections.size(); });
+        stage.run_until([&] { return results.count() == used_connections.size(); });
         ASSERT_EQ(upstreams.idle_count(upstream), used_connections.size());
     }
 
@@ -165,7 +166,7 @@
     void respond_in_turn(const std::string& response) {
         for (const auto& connection : used_connections) {
             send_first_response(*connection, response);
-            stage.until([&] { return results.count() == round.responded_at.size(); });
+            stage.run_until([&] { return results.count() == round.responded_at.size(); });
             ASSERT_EQ(upstreams.idle_count(upstream), round.responded_at.size());
         }
     }
@@ -174,9 +175,9 @@
         for (const auto& connection : used_connections) send_first_response(*connection, response);
     }
 
-    void send_first_response(Wire& connection, const std::string& response) {
+    void send_first_response(PeerConnection& connection, const std::string& response) {
         round.responded_at.push_back(clock.now());
-        connection.say(response);
+        connection.send(response);
     }
 
     // Blocks the loop: no response is read until the sleep is over.
@@ -191,7 +192,7 @@
     }
 
     void send_on_used(const std::string& text) {
-        for (const auto& connection : used_connections) connection->say(text);
+        for (const auto& connection : used_connections) connection->send(text);
     }
 
     void send_next() {
@@ -204,7 +205,7 @@
 
     // Records where and when a request that was handed over arrived.
     void receive_next() {
-        const auto [connection, message] = stage.request();
+        const auto [connection, message] = stage.await_request();
         ASSERT_TRUE(connection);
         const auto request = std::stoul(message.substr(message.find(path) + path.size()));
         const auto next = std::find_if(round.next_requests.begin(), round.next_requests.end(),
@@ -217,8 +218,9 @@
 
     // Responds to the requests sent during the reuse delay. Whatever was written before is read first.
     void respond_to_next() {
-        for (const auto& connection : next_connections) connection->say(ok(next_body));
-        stage.until([&] { return results.count() == used_connections.size() + round.next_requests.size(); });
+        for (const auto& connection : next_connections) connection->send(ok_response(next_body));
+        stage.run_until(
+            [&] { return results.count() == used_connections.size() + round.next_requests.size(); });
         for (NextRequest& next : round.next_requests) {
             const net::AttemptResult* result = results.find(next.request);
             ASSERT_TRUE(result);
@@ -232,7 +234,7 @@
         asio::steady_timer timer(stage.loop, clock.steady(at));
         bool over = false;
         timer.async_wait([&](auto) { over = true; });
-        stage.until([&] { return over; });
+        stage.run_until([&] { return over; });
     }
 
     void send(RequestId request) {
@@ -240,7 +242,7 @@
         upstreams.send({request, 0}, upstream, std::move(message), deadline(), deadline());
     }
 
-    Stage stage{1};
+    HostHarness stage{1};
     const net::Clock clock;
     ResultCollector results;
     net::Upstreams upstreams;
@@ -274,7 +276,7 @@
         ASSERT_NO_FATAL_FAILURE(harness.receive_next());
     harness.wait_until(harness.round.first_responded_at() + scenario.duplicate_after);
     harness.send_duplicates(scenario.duplicate);
-    harness.stage.until([&] { return harness.upstreams.idle_count(upstream) == 0; });
+    harness.stage.run_until([&] { return harness.upstreams.idle_count(upstream) == 0; });
     ASSERT_NO_FATAL_FAILURE(harness.respond_to_next());
     round = harness.round;
 }
@@ -303,7 +305,7 @@
     FAIL() << "no round was fast enough to send during the reuse delay";
 }
 
-bool reports_duplicates(const std::string& summary) { return has(summary, "; duplicate responses "); }
+bool reports_duplicates(const std::string& summary) { return contains(summary, "; duplicate responses "); }
 
 void expect_reuse_delay_kept_in(const Scenario& scenario) {
     expect_reuse_delay_kept_by([&](Round& round) {
@@ -364,7 +366,7 @@
 // The reuse delay counts from the last byte.
 TEST_P(ReuseDelay, BeginsAtTheEndOfAResponseInTwoPieces) {
     Scenario two_pieces = default_scenario();
-    const std::string response = ok(first_body);
+    const std::string response = ok_response(first_body);
     two_pieces.first_part = response.substr(0, response.size() - 3);
     two_pieces.first_response = response.substr(response.size() - 3);
     expect_reuse_delay_kept_in(two_pieces);
@@ -380,8 +382,8 @@
 TEST_P(ReuseDelay, NoConnectionOfAProbeCarriesAnotherRequest) {
     UpstreamsHarness harness;
     ASSERT_NO_FATAL_FAILURE(harness.open_connections(GetParam(), ExchangeKind::probes));
-    harness.send_first_responses(ok(first_body));
-    harness.stage.until([&] { return harness.results.probes.size() == GetParam(); });
+    harness.send_first_responses(ok_response(first_body));
+    harness.stage.run_until([&] { return harness.results.probes.size() == GetParam(); });
     EXPECT_EQ(harness.upstreams.idle_count(upstream), 0U);
     harness.send_next();
     ASSERT_NO_FATAL_FAILURE(harness.receive_next());
@@ -389,7 +391,7 @@
     ASSERT_NO_FATAL_FAILURE(harness.respond_to_next());
     EXPECT_EQ(harness.round.next_requests.front().body, next_body);
     for (const auto& connection : harness.used_connections)
-        harness.stage.until([&] { return connection->ended; });
+        harness.stage.run_until([&] { return connection->peer_closed; });
 }
 
 // A response that lay in the socket for longer than the reuse delay while the loop was blocked counts as just
@@ -432,7 +434,7 @@
     expect_reuse_delay_kept_by([&](Round& round) {
         UpstreamsHarness harness(max_connections);
         ASSERT_NO_FATAL_FAILURE(harness.open_connections(max_connections));
-        ASSERT_NO_FATAL_FAILURE(harness.respond_in_turn(ok(first_body)));
+        ASSERT_NO_FATAL_FAILURE(harness.respond_in_turn(ok_response(first_body)));
         harness.send_next();
         EXPECT_FALSE(harness.results.find(next_request)) << "given up without being sent";
         ASSERT_NO_FATAL_FAILURE(harness.receive_next());
@@ -440,18 +442,18 @@
         ASSERT_NO_FATAL_FAILURE(harness.respond_to_next());
         round = harness.round;
         if (!round.all_sent_within_delay() || round.next_requests.front().used_connection) return;
-        harness.stage.until([&] { return harness.used_connections.front()->ended; });
+        harness.stage.run_until([&] { return harness.used_connections.front()->peer_closed; });
         for (std::size_t other = 1; other < max_connections; ++other)
-            EXPECT_FALSE(harness.used_connections[other]->ended);
+            EXPECT_FALSE(harness.used_connections[other]->peer_closed);
     });
 }
 
 // ------------------------------------------------------------------------------- unread duplicate responses
 
 // Waits, without running the loop, until everything written has reached the other side's socket.
-void wait_until_delivered(const Wire& connection) {
+void wait_until_delivered(const PeerConnection& connection) {
     const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(5);
-    while (connection.undelivered() > 0) {
+    while (connection.undelivered_bytes() > 0) {
         ASSERT_LT(std::chrono::steady_clock::now(), limit) << "not delivered";
         std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
@@ -478,10 +480,10 @@
 TEST_P(UnreadDuplicate, IsNoticedAfterTheReuseDelay) {
     UpstreamsHarness harness;
     ASSERT_NO_FATAL_FAILURE(harness.open_connections(GetParam()));
-    ASSERT_NO_FATAL_FAILURE(harness.respond_on_all(ok(first_body)));
+    ASSERT_NO_FATAL_FAILURE(harness.respond_on_all(ok_response(first_body)));
     harness.wait_until(harness.clock.now() + reuse_delay);
     ASSERT_EQ(harness.upstreams.idle_count(upstream), GetParam());
-    harness.send_duplicates(ok(duplicate_body));
+    harness.send_duplicates(ok_response(duplicate_body));
     for (const auto& connection : harness.used_connections)
         ASSERT_NO_FATAL_FAILURE(wait_until_delivered(*connection));
     harness.send_next();
@@ -496,15 +498,15 @@
     ASSERT_NO_FATAL_FAILURE(harness.open_connections(GetParam()));
     harness.results.on_attempt = [&] {
         if (harness.results.count() != GetParam()) return;
-        harness.send_duplicates(ok(duplicate_body));
+        harness.send_duplicates(ok_response(duplicate_body));
         for (const auto& connection : harness.used_connections) wait_until_delivered(*connection);
         harness.send_next();
     };
     asio::post(harness.stage.loop, [&] {
-        harness.send_first_responses(ok(first_body));
+        harness.send_first_responses(ok_response(first_body));
         std::this_thread::sleep_for(loop_block_time);
     });
-    harness.stage.until([&] { return !harness.round.next_requests.empty(); });
+    harness.stage.run_until([&] { return !harness.round.next_requests.empty(); });
     expect_duplicate_noticed(harness);
 }
 
@@ -513,8 +515,8 @@
 
 // A response of that many bytes in total.
 std::string response_of_size(std::size_t size) {
-    const std::size_t framing = ok(std::string(size, 'x')).size() - size;
-    return ok(std::string(size - framing, 'x'));
+    const std::size_t framing = ok_response(std::string(size, 'x')).size() - size;
+    return ok_response(std::string(size - framing, 'x'));
 }
 
 class DuplicateBehindTheFirstResponse : public testing::TestWithParam<std::size_t> {};
@@ -534,8 +536,8 @@
     const std::string first = response_of_size(GetParam());
     ASSERT_EQ(first.size(), GetParam());
     harness.round.duplicates_written_at = harness.clock.now();
-    harness.send_first_responses(first + ok(duplicate_body));
-    harness.stage.until([&] { return !harness.round.next_requests.empty(); });
+    harness.send_first_responses(first + ok_response(duplicate_body));
+    harness.stage.run_until([&] { return !harness.round.next_requests.empty(); });
     expect_duplicate_noticed(harness);
 }
 
@@ -551,24 +553,24 @@
     Connections upstream;
 };
 
-void send_until_in_flight(Stage& s, InFlight& in_flight, std::size_t count) {
+void send_until_in_flight(HostHarness& s, InFlight& in_flight, std::size_t count) {
     while (in_flight.upstream.size() < count && !testing::Test::HasFatalFailure()) {
-        in_flight.clients.push_back(s.client());
-        in_flight.clients.back()->say(look());
-        in_flight.upstream.push_back(s.request().first);
+        in_flight.clients.push_back(s.connect_client());
+        in_flight.clients.back()->send(idempotent_request());
+        in_flight.upstream.push_back(s.await_request().first);
     }
 }
 
 // Puts that many requests in flight, each on a connection of its own. To an upstream that it has no responses
 // from, a host sends two requests at once, and one more with each response to the last one sent; the
 // connections of these responses are not kept.
-InFlight send_concurrently(Stage& s, std::size_t count) {
+InFlight send_concurrently(HostHarness& s, std::size_t count) {
     constexpr std::size_t initial_count = 2;
     InFlight in_flight;
     for (std::size_t allowed = initial_count; allowed < count; ++allowed) {
         send_until_in_flight(s, in_flight, allowed);
-        in_flight.upstream.back()->say(ok(first_body, "Connection: close\r\n"));
-        EXPECT_EQ(status(s.answer(*in_flight.clients.back())), 200);
+        in_flight.upstream.back()->send(ok_response(first_body, "Connection: close\r\n"));
+        EXPECT_EQ(status_code(s.await_response(*in_flight.clients.back())), 200);
         in_flight.upstream.pop_back();
         in_flight.clients.pop_back();
     }
@@ -580,31 +582,31 @@
 // get duplicate responses.
 void play_round_with_clients(std::size_t idle_count, Round& round) {
     const net::Clock clock;
-    Stage s(1);
+    HostHarness s(1);
     s.config["settings"]["services"][0]["aim"] = 4000.0;  // prevents retries while the machine is slow
     s.start();
-    const auto next_client = s.client();
+    const auto next_client = s.connect_client();
     const InFlight in_flight = send_concurrently(s, idle_count);
     const Connections& used_connections = in_flight.upstream;
     ASSERT_EQ(std::set(used_connections.begin(), used_connections.end()).size(), idle_count);
     for (const auto& connection : used_connections) {
         round.responded_at.push_back(clock.now());
-        connection->say(ok(first_body));
+        connection->send(ok_response(first_body));
     }
-    for (const auto& client : in_flight.clients) ASSERT_TRUE(has(s.answer(*client), first_body));
-    next_client->say(look());
-    const auto next_connection = s.request().first;
+    for (const auto& client : in_flight.clients) ASSERT_TRUE(contains(s.await_response(*client), first_body));
+    next_client->send(idempotent_request());
+    const auto next_connection = s.await_request().first;
     ASSERT_TRUE(next_connection);
     NextRequest next;
     next.request = next_request;
     next.sent_at = next.received_at = clock.now();  // an upper bound: the host sent the request earlier
     next.used_connection = index_of(used_connections, next_connection);
     round.duplicates_written_at = clock.now();
-    for (const auto& connection : used_connections) connection->say(ok(duplicate_body));
+    for (const auto& connection : used_connections) connection->send(ok_response(duplicate_body));
     process_pending_events(s);
-    next_connection->say(ok(next_body));
-    const std::string response = s.answer(*next_client);
-    next.outcome = status(response) == 200 ? Outcome::ok : Outcome::error;
+    next_connection->send(ok_response(next_body));
+    const std::string response = s.await_response(*next_client);
+    next.outcome = status_code(response) == 200 ? Outcome::ok : Outcome::error;
     next.body = response.substr(std::min(response.size(), response.find("\r\n\r\n") + 4));
     round.next_requests.push_back(next);
 }
--- a/tests/crossed_answers_test.cpp
+++ b/tests/crossed_answers_test.cpp
@@ -51,21 +51,21 @@
         }
     }
     // Responds to the request in flight and waits for its result.
-    void respond(Wire& connection, const std::string& bytes) {
+    void respond(PeerConnection& connection, const std::string& bytes) {
         const std::size_t known = results.count();
-        connection.say(bytes);
-        stage.until([&] { return results.count() > known; });
+        connection.send(bytes);
+        stage.run_until([&] { return results.count() > known; });
     }
     // Runs one whole exchange and returns its connection.
-    std::shared_ptr<Wire> exchange(Requester requester) {
+    std::shared_ptr<PeerConnection> exchange(Requester requester) {
         send(requester);
-        const auto connection = stage.request().first;
-        respond(*connection, ok(report_body));
+        const auto connection = stage.await_request().first;
+        respond(*connection, ok_response(report_body));
         return connection;
     }
     void wait_for(std::chrono::milliseconds span) {
         const auto over = std::chrono::steady_clock::now() + span;
-        stage.until([&] { return std::chrono::steady_clock::now() >= over; });
+        stage.run_until([&] { return std::chrono::steady_clock::now() >= over; });
     }
     // Expects that the last result of this kind is that of a response with this body.
     void expect_response(Requester requester, const std::string& body) const {
@@ -78,7 +78,7 @@
         }
     }
 
-    Stage stage{2};
+    HostHarness stage{2};
     const net::Clock clock;
     ResultCollector results;
     net::Upstreams upstreams{stage.loop, clock, {std::chrono::seconds(5), {}, 8}, report_fields, results};
@@ -96,16 +96,16 @@
 // read.
 TEST(CrossedProbes, AnArrivedDuplicateReachesNeitherAClientNorAProbe) {
     for (const auto& [first, next] : mixed_pairs) {
-        for (const std::string& duplicate : {ok(other_report_body), rejection_response}) {
+        for (const std::string& duplicate : {ok_response(other_report_body), rejection_response}) {
             for (const bool read : {true, false}) {
                 UpstreamsHarness harness;
                 const auto connection = harness.exchange(first);
-                connection->say(duplicate);
-                if (read) harness.stage.until([&] { return connection->ended; });
+                connection->send(duplicate);
+                if (read) harness.stage.run_until([&] { return connection->peer_closed; });
                 harness.send(next);
-                const auto other = harness.stage.request().first;
+                const auto other = harness.stage.await_request().first;
                 EXPECT_TRUE(other != connection);
-                harness.respond(*other, ok(report_body));
+                harness.respond(*other, ok_response(report_body));
                 harness.expect_response(next, report_body);
             }
         }
@@ -118,9 +118,9 @@
     const auto connection = harness.exchange(requesters.first);
     harness.wait_for(longer_than_reuse_delay);
     harness.send(requesters.next);
-    const auto next = harness.stage.request().first;
-    connection->say(ok(other_report_body));
-    harness.respond(*next, ok(report_body));
+    const auto next = harness.stage.await_request().first;
+    connection->send(ok_response(other_report_body));
+    harness.respond(*next, ok_response(report_body));
     harness.expect_response(requesters.next, report_body);
 }
 
@@ -140,15 +140,15 @@
 TEST(CrossedConnections, OneToAFormerAddressCarriesNoFurtherRequest) {
     UpstreamsHarness harness;
     harness.send(Requester::client);
-    const auto connection = harness.stage.request().first;
+    const auto connection = harness.stage.await_request().first;
     harness.upstreams.set_address(UpstreamsHarness::upstream_id, harness.stage.upstreams[1]->address());
-    harness.respond(*connection, ok("from the former"));
+    harness.respond(*connection, ok_response("from the former"));
     harness.expect_response(Requester::client, "from the former");
     harness.wait_for(longer_than_reuse_delay);
     harness.send(Requester::client);
-    const auto next = harness.stage.request().first;
+    const auto next = harness.stage.await_request().first;
     EXPECT_TRUE(next != connection);
-    EXPECT_EQ(harness.stage.upstreams[1]->wires.size(), 1U);
+    EXPECT_EQ(harness.stage.upstreams[1]->connections.size(), 1U);
 }
 
 // --------------------------------------------------------------------------------- rejections, with a host
@@ -156,21 +156,21 @@
 // A rejection on a connection that has carried another request may be a duplicate response to that one. A
 // deduplicated request in flight may still run, so its client must not be told that nothing has happened.
 TEST(CrossedRejections, ADeduplicatedRequestThatMayRunIsNotReportedAsRejected) {
-    Stage s(1);
+    HostHarness s(1);
     s.config["settings"]["limits"]["max_attempts"] = 1;
     s.start();
-    const auto client = s.client();
-    client->say(book());
-    const auto connection = s.request().first;
-    connection->say(ok());
-    EXPECT_EQ(status(s.answer(*client)), 200);
+    const auto client = s.connect_client();
+    client->send(deduplicated_request());
+    const auto connection = s.await_request().first;
+    connection->send(ok_response());
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
     const auto delay_over = std::chrono::steady_clock::now() + longer_than_reuse_delay;
-    s.until([&] { return std::chrono::steady_clock::now() >= delay_over; });
-    client->say(book());
-    const auto next = s.request().first;
+    s.run_until([&] { return std::chrono::steady_clock::now() >= delay_over; });
+    client->send(deduplicated_request());
+    const auto next = s.await_request().first;
     ASSERT_TRUE(next == connection) << "the connection was not reused";
-    next->say(rejection_response);
-    EXPECT_EQ(status(s.answer(*client)), 502);
+    next->send(rejection_response);
+    EXPECT_EQ(status_code(s.await_response(*client)), 502);
 }
 
 // ----------------------------------------------------------------------------------------------- discovery
@@ -180,20 +180,21 @@
 TEST(CrossedDiscovery, ADuplicateResponseToACallIsIgnored) {
     const net::ZoneAndKindNames names{{"here", "there"}, {"full node"}};
     for (const bool in_one_piece : {true, false}) {
-        Stage s;
+        HostHarness s;
         DiscoveryEventRecorder reports;
         net::Discovery client(s.loop, s.discovery.address(), names, reports);
         client.fetch();
-        s.until([&] { return received_request(s.discovery, 1); });
-        const auto connection = s.discovery.wires[0];
-        const std::string first = ok(s.list(8, true).dump()), second = ok(s.list(9, true).dump());
-        connection->say(in_one_piece ? first + second : first);
-        s.until([&] { return !reports.lists.empty(); });
+        s.run_until([&] { return received_request(s.discovery, 1); });
+        const auto connection = s.discovery.connections[0];
+        const std::string first = ok_response(s.list_json(8, true).dump()),
+                          second = ok_response(s.list_json(9, true).dump());
+        connection->send(in_one_piece ? first + second : first);
+        s.run_until([&] { return !reports.lists.empty(); });
         client.fetch();
-        s.until([&] { return received_request(s.discovery, 2); });
-        if (!in_one_piece) connection->say(second);
-        s.discovery.wires[1]->say(ok(s.list(10, true).dump()));
-        s.until([&] { return reports.lists.size() >= 2; });
+        s.run_until([&] { return received_request(s.discovery, 2); });
+        if (!in_one_piece) connection->send(second);
+        s.discovery.connections[1]->send(ok_response(s.list_json(10, true).dump()));
+        s.run_until([&] { return reports.lists.size() >= 2; });
         EXPECT_EQ(reports.versions(), (std::vector<std::uint64_t>{8, 10})) << in_one_piece;
         EXPECT_TRUE(reports.failures.empty()) << in_one_piece;
     }
@@ -203,21 +204,21 @@
 // reaches the next watch.
 TEST(CrossedDiscovery, AResponseBehindTheEndOfAWatchIsIgnored) {
     const net::ZoneAndKindNames names{{"here", "there"}, {"full node"}};
-    Stage s;
+    HostHarness s;
     DiscoveryEventRecorder reports;
     net::Discovery client(s.loop, s.discovery.address(), names, reports);
     client.watch();
-    s.until([&] { return received_request(s.discovery, 1); });
-    const auto connection = s.discovery.wires[0];
-    const std::string behind = watch_response_head + chunk(s.list(9, true).dump() + "\n");
-    connection->say(watch_response_head + chunk(s.list(8, true).dump() + "\n") + last_chunk + behind);
-    s.until([&] { return !reports.failures.empty(); });
+    s.run_until([&] { return received_request(s.discovery, 1); });
+    const auto connection = s.discovery.connections[0];
+    const std::string behind = watch_response_head + chunk(s.list_json(9, true).dump() + "\n");
+    connection->send(watch_response_head + chunk(s.list_json(8, true).dump() + "\n") + last_chunk + behind);
+    s.run_until([&] { return !reports.failures.empty(); });
     client.watch();
-    s.until([&] { return received_request(s.discovery, 2); });
-    EXPECT_TRUE(has(s.discovery.wires[1]->in, "index=8 "));
-    connection->say(behind);
-    s.discovery.wires[1]->say(watch_response_head + chunk(s.list(10, true).dump() + "\n"));
-    s.until([&] { return reports.lists.size() >= 2; });
+    s.run_until([&] { return received_request(s.discovery, 2); });
+    EXPECT_TRUE(contains(s.discovery.connections[1]->received, "index=8 "));
+    connection->send(behind);
+    s.discovery.connections[1]->send(watch_response_head + chunk(s.list_json(10, true).dump() + "\n"));
+    s.run_until([&] { return reports.lists.size() >= 2; });
     EXPECT_EQ(reports.versions(), (std::vector<std::uint64_t>{8, 10}));
     EXPECT_EQ(reports.failures, std::vector{net::ListFailure::closed});
 }
@@ -227,62 +228,62 @@
 // Requests that the balancer responds to itself follow one that waits for an upstream: the responses go out
 // in the order of the requests.
 TEST(CrossedClients, LocalResponsesDoNotOvertakeAnUpstreamResponse) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto client = s.client();
+    const auto client = s.connect_client();
     const std::string unknown = "GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n";
-    client->say(look(5000, "first"));
-    const auto connection = s.request().first;
-    client->say(unknown + ready() + look(5000, "second"));
+    client->send(idempotent_request(5000, "first"));
+    const auto connection = s.await_request().first;
+    client->send(unknown + ready_request() + idempotent_request(5000, "second"));
     process_pending_events(s);
-    EXPECT_TRUE(client->in.empty());
-    connection->say(ok("to the first"));
-    EXPECT_TRUE(has(s.answer(*client), "to the first"));
-    EXPECT_EQ(status(s.answer(*client)), 404);
-    EXPECT_EQ(status(s.answer(*client)), 200);
-    const auto [next, request] = s.request();
-    EXPECT_TRUE(has(request, "second"));
-    next->say(ok("to the second"));
-    EXPECT_TRUE(has(s.answer(*client), "to the second"));
+    EXPECT_TRUE(client->received.empty());
+    connection->send(ok_response("to the first"));
+    EXPECT_TRUE(contains(s.await_response(*client), "to the first"));
+    EXPECT_EQ(status_code(s.await_response(*client)), 404);
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
+    const auto [next, request] = s.await_request();
+    EXPECT_TRUE(contains(request, "second"));
+    next->send(ok_response("to the second"));
+    EXPECT_TRUE(contains(s.await_response(*client), "to the second"));
 }
 
 // Two clients use the same call id, and the responses arrive in reverse order.
 TEST(CrossedClients, RequestsWithTheSameCallIdGetTheirOwnResponses) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto first = s.client(), second = s.client();
-    first->say(look());
-    const auto first_connection = s.request().first;
-    second->say(look());
-    const auto second_connection = s.request().first;
-    second_connection->say(ok("to the second"));
-    EXPECT_TRUE(has(s.answer(*second), "to the second"));
-    first_connection->say(ok("to the first"));
-    EXPECT_TRUE(has(s.answer(*first), "to the first"));
+    const auto first = s.connect_client(), second = s.connect_client();
+    first->send(idempotent_request());
+    const auto first_connection = s.await_request().first;
+    second->send(idempotent_request());
+    const auto second_connection = s.await_request().first;
+    second_connection->send(ok_response("to the second"));
+    EXPECT_TRUE(contains(s.await_response(*second), "to the second"));
+    first_connection->send(ok_response("to the first"));
+    EXPECT_TRUE(contains(s.await_response(*first), "to the first"));
 }
 
 // The first `length` bytes of a request follow another one that is in flight; the remainder comes after its
 // response.
 void expect_read_whole(const std::string& request, std::size_t length, const std::string& end) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto client = s.client();
-    client->say(look() + request.substr(0, length));
-    s.request().first->say(ok("to the first"));
-    EXPECT_TRUE(has(s.answer(*client), "to the first"));
+    const auto client = s.connect_client();
+    client->send(idempotent_request() + request.substr(0, length));
+    s.await_request().first->send(ok_response("to the first"));
+    EXPECT_TRUE(contains(s.await_response(*client), "to the first"));
     process_pending_events(s);
-    EXPECT_TRUE(s.nothing_sent());
-    client->say(request.substr(length));
-    const auto [connection, forwarded] = s.request();
+    EXPECT_TRUE(s.no_unread_requests());
+    client->send(request.substr(length));
+    const auto [connection, forwarded] = s.await_request();
     ASSERT_TRUE(connection);
-    EXPECT_TRUE(has(forwarded, "X-Call-Class: once\r\n")) << forwarded;
+    EXPECT_TRUE(contains(forwarded, "X-Call-Class: once\r\n")) << forwarded;
     EXPECT_TRUE(forwarded.ends_with(end)) << forwarded;
-    connection->say(ok("to the second"));
-    EXPECT_TRUE(has(s.answer(*client), "to the second"));
+    connection->send(ok_response("to the second"));
+    EXPECT_TRUE(contains(s.await_response(*client), "to the second"));
 }
 
 TEST(CrossedClients, ARequestSplitInItsHeadBehindAnotherIsReadWhole) {
-    const std::string request = once(5000, "for the second");
+    const std::string request = at_most_once_request(5000, "for the second");
     expect_read_whole(request, request.find("X-Call-Class"), "\r\n\r\nfor the second");
 }
 
@@ -290,26 +291,26 @@
 // bytes of the same connection: a read that is in progress while received bytes are consumed writes to the
 // wrong place.
 TEST(CrossedClients, ARequestSplitInItsBodyBehindAnotherIsReadWhole) {
-    const std::string request = once(5000, "for the second");
+    const std::string request = at_most_once_request(5000, "for the second");
     expect_read_whole(request, request.size() - 4, "\r\n\r\nfor the second");
 }
 
 // Guards, for the same reason, against running the second of two requests sent at once twice, and a third one
 // never.
 TEST(CrossedClients, ARequestAfterTwoPipelinedOnesIsReadUnchanged) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto client = s.client();
+    const auto client = s.connect_client();
     const auto expect_served = [&](const std::string& body) {
-        const auto [connection, request] = s.request();
+        const auto [connection, request] = s.await_request();
         EXPECT_TRUE(request.ends_with("\r\n\r\n" + body)) << request;
-        connection->say(ok("served " + body));
-        EXPECT_TRUE(has(s.answer(*client), "served " + body));
+        connection->send(ok_response("served " + body));
+        EXPECT_TRUE(contains(s.await_response(*client), "served " + body));
     };
-    client->say(once(5000, "one") + once(5000, "two"));
+    client->send(at_most_once_request(5000, "one") + at_most_once_request(5000, "two"));
     expect_served("one");
     expect_served("two");
-    client->say(once(5000, "new"));
+    client->send(at_most_once_request(5000, "new"));
     expect_served("new");
 }
 
@@ -324,76 +325,76 @@
 // one turn; the first request ends exactly at the end of a read.
 TEST(CrossedClients, ARequestBehindOneThatFillsAReadGetsItsResponseInAShutdown) {
     constexpr auto past_first_shutdown_check = std::chrono::milliseconds(600);
-    Stage s(1);
+    HostHarness s(1);
     s.start();
-    const auto client = s.client();
-    client->say(ready());
-    EXPECT_EQ(status(s.answer(*client)), 200);
+    const auto client = s.connect_client();
+    client->send(ready_request());
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
     s.host->drain();
-    client->say(ready_request_of_size(net::read_most) + look());
+    client->send(ready_request_of_size(net::max_read_bytes) + idempotent_request());
     std::this_thread::sleep_for(past_first_shutdown_check);
-    EXPECT_EQ(status(s.answer(*client)), 200);
-    const auto connection = s.request().first;
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
+    const auto connection = s.await_request().first;
     ASSERT_TRUE(connection);
-    connection->say(ok("to the request behind"));
-    EXPECT_TRUE(has(s.answer(*client), "to the request behind"));
+    connection->send(ok_response("to the request behind"));
+    EXPECT_TRUE(contains(s.await_response(*client), "to the request behind"));
 }
 
 // Long enough after SIGTERM for the host to have begun closing its connections.
 constexpr auto time_to_begin_closing = std::chrono::milliseconds(600);
 
 // Begins the shutdown and runs the loop until the host closes its connections.
-void drain_until_connections_close(Stage& s) {
+void drain_until_connections_close(HostHarness& s) {
     s.host->drain();
     const auto closing_at = std::chrono::steady_clock::now() + time_to_begin_closing;
-    s.until([&] { return std::chrono::steady_clock::now() >= closing_at; });
+    s.run_until([&] { return std::chrono::steady_clock::now() >= closing_at; });
 }
 
 // Guards against a request dropped during shutdown because it arrives at the moment of the response before it
 // and is still unread in its socket. The response and the request are both there before the host looks at
 // either.
 TEST(CrossedClients, ARequestThatArrivesWithThePreviousResponseGetsItsOwnInAShutdown) {
-    Stage s(1);
+    HostHarness s(1);
     s.config["settings"]["services"][0]["aim"] = 4000.0;
     s.start();
-    const auto client = s.client();
-    client->say(look(5000, "one"));
-    const auto connection = s.request().first;
+    const auto client = s.connect_client();
+    client->send(idempotent_request(5000, "one"));
+    const auto connection = s.await_request().first;
     drain_until_connections_close(s);
-    connection->say(ok("to one"));
-    client->say(look(5000, "two"));
-    EXPECT_TRUE(has(s.answer(*client), "to one"));
-    const auto next = s.request().first;
+    connection->send(ok_response("to one"));
+    client->send(idempotent_request(5000, "two"));
+    EXPECT_TRUE(contains(s.await_response(*client), "to one"));
+    const auto next = s.await_request().first;
     ASSERT_TRUE(next);
-    next->say(ok("to two"));
-    const std::string answer = s.answer(*client);
-    EXPECT_TRUE(has(answer, "to two"));
-    EXPECT_TRUE(has(answer, "Connection: close")) << "no further request has arrived";
-    s.until([&] { return client->ended; });
+    next->send(ok_response("to two"));
+    const std::string answer = s.await_response(*client);
+    EXPECT_TRUE(contains(answer, "to two"));
+    EXPECT_TRUE(contains(answer, "Connection: close")) << "no further request has arrived";
+    s.run_until([&] { return client->peer_closed; });
     client->close();
-    s.until([&] { return s.host->drained(); });
+    s.run_until([&] { return s.host->drained(); });
 }
 
 // Guards against a request that a shutdown cuts in half: its first half follows another request.
 TEST(CrossedClients, ARequestSplitBehindAnotherIsReadWholeInAShutdown) {
-    const std::string request = look(5000, "second");
-    Stage s(1);
+    const std::string request = idempotent_request(5000, "second");
+    HostHarness s(1);
     s.config["settings"]["services"][0]["aim"] = 4000.0;
     s.start();
-    const auto client = s.client();
-    client->say(look(5000, "first") + request.substr(0, request.size() / 2));
-    const auto connection = s.request().first;
+    const auto client = s.connect_client();
+    client->send(idempotent_request(5000, "first") + request.substr(0, request.size() / 2));
+    const auto connection = s.await_request().first;
     drain_until_connections_close(s);
-    connection->say(ok("to the first"));
-    EXPECT_TRUE(has(s.answer(*client), "to the first"));
+    connection->send(ok_response("to the first"));
+    EXPECT_TRUE(contains(s.await_response(*client), "to the first"));
     process_pending_events(s);
-    EXPECT_FALSE(client->ended);
-    client->say(request.substr(request.size() / 2));
-    const auto [next, forwarded] = s.request();
+    EXPECT_FALSE(client->peer_closed);
+    client->send(request.substr(request.size() / 2));
+    const auto [next, forwarded] = s.await_request();
     ASSERT_TRUE(next);
-    EXPECT_TRUE(has(forwarded, "X-Call-Id: second\r\n")) << forwarded;
-    next->say(ok("to the second"));
-    EXPECT_TRUE(has(s.answer(*client), "to the second"));
+    EXPECT_TRUE(contains(forwarded, "X-Call-Id: second\r\n")) << forwarded;
+    next->send(ok_response("to the second"));
+    EXPECT_TRUE(contains(s.await_response(*client), "to the second"));
 }
 
 // Guards against requests that have been read but get no response before SIGKILL: several came at once, and
@@ -401,20 +402,20 @@
 TEST(CrossedClients, AllPipelinedRequestsGetResponsesBeforeTheKill) {
     constexpr auto earliest_kill = std::chrono::milliseconds(3700);
     constexpr int requests = 8;
-    Stage s(1);
+    HostHarness s(1);
     s.start();
-    const auto client = s.client();
+    const auto client = s.connect_client();
     std::string pipelined;
-    for (int i = 0; i < requests; ++i) pipelined += once();
-    client->say(pipelined);
-    s.request();
+    for (int i = 0; i < requests; ++i) pipelined += at_most_once_request();
+    client->send(pipelined);
+    s.await_request();
     asio::steady_timer kill(s.loop, earliest_kill);
     bool killed = false;
     s.host->drain();
     kill.async_wait([&](auto) { killed = true; });
     int answered = 0;
-    s.until([&] {
-        answered += !client->take().empty();
+    s.run_until([&] {
+        answered += !client->take_message().empty();
         return killed || answered == requests;
     });
     EXPECT_EQ(answered, requests);
@@ -424,23 +425,23 @@
 // Guards against a request that is read and dropped during shutdown: it arrived whole with the one before it.
 TEST(CrossedClients, TheSecondOfTwoPipelinedRequestsGetsItsResponseInAShutdown) {
     constexpr auto time_until_closing = std::chrono::milliseconds(600);
-    Stage s(1);
+    HostHarness s(1);
     s.config["settings"]["services"][0]["aim"] = 1500.0;
     s.start();
-    const auto client = s.client(), idle = s.client();
-    idle->say(ready());
-    EXPECT_EQ(status(s.answer(*idle)), 200);
-    client->say(look(5000, "one") + look(5000, "two"));
-    const auto connection = s.request().first;
+    const auto client = s.connect_client(), idle = s.connect_client();
+    idle->send(ready_request());
+    EXPECT_EQ(status_code(s.await_response(*idle)), 200);
+    client->send(idempotent_request(5000, "one") + idempotent_request(5000, "two"));
+    const auto connection = s.await_request().first;
     s.host->drain();
     const auto closing_at = std::chrono::steady_clock::now() + time_until_closing;
-    s.until([&] { return std::chrono::steady_clock::now() >= closing_at; });
-    connection->say(ok("to one"));
-    EXPECT_TRUE(has(s.answer(*client), "to one"));
-    const auto next = s.request().first;
+    s.run_until([&] { return std::chrono::steady_clock::now() >= closing_at; });
+    connection->send(ok_response("to one"));
+    EXPECT_TRUE(contains(s.await_response(*client), "to one"));
+    const auto next = s.await_request().first;
     ASSERT_TRUE(next);
-    next->say(ok("to two"));
-    EXPECT_TRUE(has(s.answer(*client), "to two"));
+    next->send(ok_response("to two"));
+    EXPECT_TRUE(contains(s.await_response(*client), "to two"));
 }
 
 // A client sends a request and half or all of another one, and disconnects before or after the response to
@@ -450,22 +451,22 @@
         bool whole, answered;
     };
     for (const auto& [whole, answered] : {Case{false, false}, Case{false, true}, Case{true, false}}) {
-        Stage s;
+        HostHarness s;
         s.start();
-        const auto client = s.client();
-        const std::string next = once();
-        client->say(look() + next.substr(0, next.size() - (whole ? 0 : 2)));
-        const auto connection = s.request().first;
+        const auto client = s.connect_client();
+        const std::string next = at_most_once_request();
+        client->send(idempotent_request() + next.substr(0, next.size() - (whole ? 0 : 2)));
+        const auto connection = s.await_request().first;
         if (answered) {
-            connection->say(ok());
-            EXPECT_EQ(status(s.answer(*client)), 200);
+            connection->send(ok_response());
+            EXPECT_EQ(status_code(s.await_response(*client)), 200);
         }
         process_pending_events(s);
         client->close();
-        if (!answered) s.until([&] { return connection->ended; });
+        if (!answered) s.run_until([&] { return connection->peer_closed; });
         process_pending_events(s);
-        EXPECT_TRUE(s.nothing_sent()) << whole << answered;
-        EXPECT_EQ(s.connections(), 1U) << whole << answered;
+        EXPECT_TRUE(s.no_unread_requests()) << whole << answered;
+        EXPECT_EQ(s.upstream_connection_count(), 1U) << whole << answered;
         s.host.reset();
     }
 }
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -17,14 +17,14 @@
 // ------------------------------------------------------------------------------------------------- lists
 
 // Sends six requests one after another and expects that none of them reaches the first upstream.
-void expect_none_to_first(Stage& s) {
-    const auto client = s.client();
+void expect_none_to_first(HostHarness& s) {
+    const auto client = s.connect_client();
     for (int i = 0; i < 6; ++i) {
-        client->say(look());
-        s.request().first->say(ok());
-        EXPECT_EQ(status(s.answer(*client)), 200);
+        client->send(idempotent_request());
+        s.await_request().first->send(ok_response());
+        EXPECT_EQ(status_code(s.await_response(*client)), 200);
     }
-    EXPECT_TRUE(s.upstreams[0]->wires.empty());
+    EXPECT_TRUE(s.upstreams[0]->connections.empty());
 }
 
 // A list with an older version, a delta or a snapshot, in the middle of a watch or at the start of a new one,
@@ -32,20 +32,20 @@
 TEST(Lists, AnOlderVersionDoesNotUndoADrain) {
     for (const bool full : {false, true}) {
         for (const bool new_watch : {false, true}) {
-            Stage s;
+            HostHarness s;
             s.start();
-            s.until([&] { return received_request(s.discovery, 1); });
-            auto wire = s.discovery.wires[0];
-            json update = s.list(11, false);
-            update["hosts"] = {s.upstream(0, "leaving")};
-            wire->say(watch_response_head + chunk(update.dump() + "\n"));
+            s.run_until([&] { return received_request(s.discovery, 1); });
+            auto wire = s.discovery.connections[0];
+            json update = s.list_json(11, false);
+            update["hosts"] = {s.upstream_json(0, "leaving")};
+            wire->send(watch_response_head + chunk(update.dump() + "\n"));
             if (new_watch) {
                 wire->close();
-                s.until([&] { return received_request(s.discovery, 2); });
-                wire = s.discovery.wires[1];
-                wire->say(watch_response_head);
+                s.run_until([&] { return received_request(s.discovery, 2); });
+                wire = s.discovery.connections[1];
+                wire->send(watch_response_head);
             }
-            wire->say(chunk(s.list(10, full).dump() + "\n"));
+            wire->send(chunk(s.list_json(10, full).dump() + "\n"));
             process_pending_events(s);
             expect_none_to_first(s);
             s.host.reset();
@@ -57,22 +57,22 @@
 // a watch has been cut off, the next one is therefore open before a short drain grace ends.
 TEST(Lists, AWatchOnPushedListsIsReopenedWithinTheGrace) {
     for (const bool reset : {false, true}) {
-        Stage s;
+        HostHarness s;
         s.config["settings"]["registry_mode"] = "push";
         s.config["settings"]["invariants"]["drain_grace"] = 400.0;
         s.start();
-        s.until([&] { return received_request(s.discovery, 1); });
-        s.discovery.wires[0]->say(watch_response_head + chunk("\n"));
+        s.run_until([&] { return received_request(s.discovery, 1); });
+        s.discovery.connections[0]->send(watch_response_head + chunk("\n"));
         process_pending_events(s);
         asio::steady_timer grace(s.loop, std::chrono::milliseconds(400));
         bool over = false;
         if (reset) {
-            s.discovery.wires[0]->reset();
+            s.discovery.connections[0]->reset();
         } else {
-            s.discovery.wires[0]->close();
+            s.discovery.connections[0]->close();
         }
         grace.async_wait([&](auto) { over = true; });
-        s.until([&] { return over || received_request(s.discovery, 2); });
+        s.run_until([&] { return over || received_request(s.discovery, 2); });
         EXPECT_FALSE(over);
         s.host.reset();
     }
@@ -91,19 +91,19 @@
 
 // The duplicate response comes when the upstream has received the next request.
 TEST(Idle, ADuplicateResponseIsNeverGivenToTheNextRequest) {
-    Stage s(1);
+    HostHarness s(1);
     s.start();
-    const auto client = s.client();
-    client->say(look(5000, "first"));
-    const auto wire = s.request().first;
-    wire->say(ok("to the first"));
-    EXPECT_TRUE(has(s.answer(*client), "to the first"));
-    client->say(look(5000, "second"));
-    const auto next = s.request().first;
-    wire->say(ok("to the first, again"));
+    const auto client = s.connect_client();
+    client->send(idempotent_request(5000, "first"));
+    const auto wire = s.await_request().first;
+    wire->send(ok_response("to the first"));
+    EXPECT_TRUE(contains(s.await_response(*client), "to the first"));
+    client->send(idempotent_request(5000, "second"));
+    const auto next = s.await_request().first;
+    wire->send(ok_response("to the first, again"));
     process_pending_events(s);
-    next->say(ok("to the second"));
-    EXPECT_TRUE(has(s.answer(*client), "to the second"));
+    next->send(ok_response("to the second"));
+    EXPECT_TRUE(contains(s.await_response(*client), "to the second"));
 }
 
 // Far more requests than are sent during one reuse delay, so that a balancer that pools connections has
@@ -112,16 +112,16 @@
 
 // Sends the same request until one is sent on a connection that has carried another. Returns its client and
 // that connection, or nothing if each request has a connection of its own. All other requests are served.
-std::optional<std::pair<std::shared_ptr<Wire>, std::shared_ptr<Wire>>> first_reused_connection(
-    Stage& s, const std::string& request) {
-    std::set<std::shared_ptr<Wire>> used;
+std::optional<std::pair<std::shared_ptr<PeerConnection>, std::shared_ptr<PeerConnection>>>
+first_reused_connection(HostHarness& s, const std::string& request) {
+    std::set<std::shared_ptr<PeerConnection>> used;
     for (int i = 0; i < max_requests_before_reuse; ++i) {
-        const auto client = s.client();
-        client->say(request);
-        const auto wire = s.request().first;
+        const auto client = s.connect_client();
+        client->send(request);
+        const auto wire = s.await_request().first;
         if (!used.insert(wire).second) return std::pair{client, wire};
-        wire->say(ok());
-        EXPECT_EQ(status(s.answer(*client)), 200);
+        wire->send(ok_response());
+        EXPECT_EQ(status_code(s.await_response(*client)), 200);
         client->close();
     }
     return std::nullopt;
@@ -131,38 +131,38 @@
 // when an upstream sends the duplicate after the connection has been reused: the reuse delay is 10 ms, and a
 // response that comes later can't be distinguished from the expected one, as responses name no request.
 TEST(Idle, ASecondAnswerLaterThanTheRestIsNeverGivenToTheNextRequest) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto reused = first_reused_connection(s, look());
+    const auto reused = first_reused_connection(s, idempotent_request());
     if (!reused) {  // the connections then have to be closed, so that no duplicate response can come
-        s.until([&] { return s.all_ended(); });
+        s.run_until([&] { return s.all_upstream_connections_closed(); });
         return;
     }
     const auto& [client, wire] = *reused;
-    wire->say(ok("to the one before, again"));
-    EXPECT_FALSE(has(s.answer(*client), "to the one before"));
+    wire->send(ok_response("to the one before, again"));
+    EXPECT_FALSE(contains(s.await_response(*client), "to the one before"));
 }
 
 // Guards against wrong responses from an upstream that has sent a duplicate response before: each of its
 // connections carries one request from then on, so that a duplicate, however late, reaches no other request.
 TEST(Idle, AfterADuplicateResponseNoLaterOneReachesAnotherRequest) {
     for (const bool in_one_write : {true, false}) {
-        Stage s(1);
+        HostHarness s(1);
         s.start();
-        const auto client = s.client();
-        client->say(look());
-        auto wire = s.request().first;
-        wire->say(in_one_write ? ok() + ok() : ok());
-        EXPECT_EQ(status(s.answer(*client)), 200);
-        if (!in_one_write) wire->say(ok());
-        s.until([&] { return wire->ended; });
-        std::set<std::shared_ptr<Wire>> used{wire};
+        const auto client = s.connect_client();
+        client->send(idempotent_request());
+        auto wire = s.await_request().first;
+        wire->send(in_one_write ? ok_response() + ok_response() : ok_response());
+        EXPECT_EQ(status_code(s.await_response(*client)), 200);
+        if (!in_one_write) wire->send(ok_response());
+        s.run_until([&] { return wire->peer_closed; });
+        std::set<std::shared_ptr<PeerConnection>> used{wire};
         for (int i = 0; i < 12; ++i) {
-            client->say(look());
-            wire = s.request().first;
+            client->send(idempotent_request());
+            wire = s.await_request().first;
             // On a reused connection, this could be a duplicate response to the preceding request.
-            wire->say(used.insert(wire).second ? ok("to this") : ok("to another"));
-            EXPECT_TRUE(has(s.answer(*client), "to this"));
+            wire->send(used.insert(wire).second ? ok_response("to this") : ok_response("to another"));
+            EXPECT_TRUE(contains(s.await_response(*client), "to this"));
         }
         s.host.reset();
     }
@@ -179,7 +179,7 @@
 // Guards against using a new connection for each request of an upstream forever: the restriction ends when
 // the upstream has sent no duplicate response for `single_use`.
 TEST(Idle, ConnectionsAreReusedAgainSomeTimeAfterADuplicateResponse) {
-    Stage s(1);
+    HostHarness s(1);
     OutcomeRecorder outcomes;
     const net::Clock clock;
     net::UpstreamLimits limits{std::chrono::seconds(5), {}, 8};
@@ -191,76 +191,76 @@
         net::HttpRequest request(boost::beast::http::verb::get, "/api", 11);
         const Time expires = clock.now() + std::chrono::seconds(15);
         upstreams.send({1, sent++}, 1, std::move(request), expires, expires);
-        s.request().first->say(answer);
-        s.until([&] { return outcomes.all.size() == static_cast<std::size_t>(sent); });
+        s.await_request().first->send(answer);
+        s.run_until([&] { return outcomes.all.size() == static_cast<std::size_t>(sent); });
         EXPECT_EQ(outcomes.all.back(), Outcome::ok);
     };
-    exchange(ok() + ok());
+    exchange(ok_response() + ok_response());
     const Time over = clock.now() + limits.single_use_period;
-    exchange(ok());
+    exchange(ok_response());
     EXPECT_EQ(upstreams.idle_count(1), 0U);
-    s.until([&] { return clock.now() >= over; });
-    exchange(ok());
+    s.run_until([&] { return clock.now() >= over; });
+    exchange(ok_response());
     EXPECT_EQ(upstreams.idle_count(1), 1U);
 }
 
 // A duplicate response may be a rejection and come at any time: on a reused connection, a rejection doesn't
 // prove that an unsafe request was not executed.
 TEST(Idle, ARejectionThatMayBelongToAnotherRequestIsNoProof) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto reused = first_reused_connection(s, once());
+    const auto reused = first_reused_connection(s, at_most_once_request());
     ASSERT_TRUE(reused) << "no connection was reused";
     const auto& [client, wire] = *reused;
-    wire->say(rejection_response);
-    EXPECT_EQ(status(s.answer(*client)), 502);
-    EXPECT_TRUE(s.nothing_sent());
+    wire->send(rejection_response);
+    EXPECT_EQ(status_code(s.await_response(*client)), 502);
+    EXPECT_TRUE(s.no_unread_requests());
 }
 
 // A request that is safe to repeat is retried at another upstream at once.
 TEST(Idle, ARejectionOnAReusedConnectionRetriesASafeRequest) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto reused = first_reused_connection(s, look());
+    const auto reused = first_reused_connection(s, idempotent_request());
     ASSERT_TRUE(reused) << "no connection was reused";
     const auto& [client, wire] = *reused;
-    wire->say(rejection_response);
-    s.request().first->say(ok());
-    EXPECT_EQ(status(s.answer(*client)), 200);
+    wire->send(rejection_response);
+    s.await_request().first->send(ok_response());
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
 }
 
 // The first response on a connection belongs to its request.
 TEST(Idle, ARejectionOnANewConnectionIsProof) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto client = s.client();
-    client->say(once());
-    s.request().first->say(rejection_response);
-    s.request().first->say(ok());
-    EXPECT_EQ(status(s.answer(*client)), 200);
+    const auto client = s.connect_client();
+    client->send(at_most_once_request());
+    s.await_request().first->send(rejection_response);
+    s.await_request().first->send(ok_response());
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
 }
 
 // More bytes follow a rejection: it can't be determined which of the two is the response.
 TEST(Idle, ARejectionFollowedByBytesIsNoProof) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto client = s.client();
-    client->say(once());
-    s.request().first->say(rejection_response + ok());
-    EXPECT_EQ(status(s.answer(*client)), 502);
-    EXPECT_TRUE(s.nothing_sent());
+    const auto client = s.connect_client();
+    client->send(at_most_once_request());
+    s.await_request().first->send(rejection_response + ok_response());
+    EXPECT_EQ(status_code(s.await_response(*client)), 502);
+    EXPECT_TRUE(s.no_unread_requests());
 }
 
 // An upstream closes the connection after it has read the request, which may have been executed: an unsafe
 // request is not retried.
 TEST(Idle, ACloseAfterARequestCountsAsAReset) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto client = s.client();
-    client->say(once());
-    s.request().first->close();
-    EXPECT_EQ(status(s.answer(*client)), 502);
-    EXPECT_TRUE(s.nothing_sent());
+    const auto client = s.connect_client();
+    client->send(at_most_once_request());
+    s.await_request().first->close();
+    EXPECT_EQ(status_code(s.await_response(*client)), 502);
+    EXPECT_TRUE(s.no_unread_requests());
 }
 
 // -------------------------------------------------------------------------------- clients that disconnect
@@ -275,22 +275,22 @@
 // one's back-off is over.
 TEST(ClientLeaves, NothingIsRetriedAfterABackOff) {
     for (const std::size_t extra_bytes : {0, 400000}) {
-        Stage s;
+        HostHarness s;
         s.config["settings"]["services"][0]["aim"] = 1000.0;
         s.start();
-        const auto client = s.client(), other = s.client();
-        client->say(look(5000, "leaves"));
-        s.request().first->reset();
+        const auto client = s.connect_client(), other = s.connect_client();
+        client->send(idempotent_request(5000, "leaves"));
+        s.await_request().first->reset();
         process_pending_events(s);
-        client->say(std::string(extra_bytes, 'x'));
+        client->send(std::string(extra_bytes, 'x'));
         process_pending_events(s);
         client->close();
-        other->say(look(5000, "stays"));
-        s.request().first->reset();
-        const auto [wire, request] = s.request();
-        EXPECT_TRUE(has(request, "stays")) << extra_bytes;
-        wire->say(ok());
-        EXPECT_EQ(status(s.answer(*other)), 200);
+        other->send(idempotent_request(5000, "stays"));
+        s.await_request().first->reset();
+        const auto [wire, request] = s.await_request();
+        EXPECT_TRUE(contains(request, "stays")) << extra_bytes;
+        wire->send(ok_response());
+        EXPECT_EQ(status_code(s.await_response(*other)), 200);
         s.host.reset();
     }
 }
@@ -299,41 +299,41 @@
 // has not yet read that when it reads the outcome after which it would retry the request.
 TEST(ClientLeaves, ACloseNotYetReadIsNoticed) {
     for (const std::size_t extra_bytes : {0, 20000}) {
-        Stage s;
+        HostHarness s;
         s.start();
-        const auto client = s.client();
-        client->say(look());
-        const auto wire = s.request().first;
-        wire->say(rejection_response);
-        client->say(std::string(extra_bytes, 'x'));
+        const auto client = s.connect_client();
+        client->send(idempotent_request());
+        const auto wire = s.await_request().first;
+        wire->send(rejection_response);
+        client->send(std::string(extra_bytes, 'x'));
         client->close();
         process_pending_events(s);
-        EXPECT_TRUE(s.nothing_sent()) << extra_bytes;
-        EXPECT_EQ(s.connections(), 1U) << extra_bytes;
+        EXPECT_TRUE(s.no_unread_requests()) << extra_bytes;
+        EXPECT_EQ(s.upstream_connection_count(), 1U) << extra_bytes;
         s.host.reset();
     }
 }
 
 // Sends requests until one waits for a connection to the slow upstream. Returns its client.
-std::shared_ptr<Wire> client_waiting_for_connection(Stage& s) {
+std::shared_ptr<PeerConnection> client_waiting_for_connection(HostHarness& s) {
     for (;;) {
-        const auto client = s.client();
-        client->say(look());
+        const auto client = s.connect_client();
+        client->send(idempotent_request());
         process_pending_events(s);
-        std::shared_ptr<Wire> served;
-        for (const auto& wire : s.upstreams[1]->wires) {
-            if (!wire->take().empty()) served = wire;
+        std::shared_ptr<PeerConnection> served;
+        for (const auto& wire : s.upstreams[1]->connections) {
+            if (!wire->take_message().empty()) served = wire;
         }
         if (!served) return client;
-        served->say(ok());
-        EXPECT_EQ(status(s.answer(*client)), 200);
+        served->send(ok_response());
+        EXPECT_EQ(status_code(s.await_response(*client)), 200);
     }
 }
 
 // Holds whether or not the balancer may cancel attempts.
 TEST(ClientLeaves, NothingIsSentOnceItsConnectionIsEstablished) {
     for (const bool may_cancel : {true, false}) {
-        Stage s;
+        HostHarness s;
         extend_time_limits(s);
         s.config["settings"]["limits"]["cancel"] = may_cancel;
         DelayedAcceptUpstream slow(s);
@@ -342,7 +342,7 @@
         client->close();
         process_pending_events(s);
         slow.accept_all(s);
-        for (const auto& wire : slow.connections) EXPECT_FALSE(has(wire->in, "GET")) << may_cancel;
+        for (const auto& wire : slow.connections) EXPECT_FALSE(contains(wire->received, "GET")) << may_cancel;
         s.host.reset();
     }
 }
@@ -359,7 +359,7 @@
         }
         void on_probe_result(ProbeResult) override {}
     };
-    Stage s(1);
+    HostHarness s(1);
     WithdrawOnConnect sink;
     const net::Clock clock;
     net::Upstreams upstreams(s.loop, clock, {std::chrono::seconds(5), {}, 8}, {}, sink);
@@ -368,31 +368,34 @@
     net::HttpRequest request(boost::beast::http::verb::get, "/api", 11);
     const Time expires = clock.now() + std::chrono::seconds(15);
     upstreams.send({1, 0}, 1, std::move(request), expires, expires);
-    s.until([&] { return sink.outcome && s.connections() == 1 && s.upstreams[0]->wires[0]->ended; });
+    s.run_until([&] {
+        return sink.outcome && s.upstream_connection_count() == 1 &&
+               s.upstreams[0]->connections[0]->peer_closed;
+    });
     EXPECT_EQ(sink.outcome, Outcome::not_sent);
-    EXPECT_TRUE(s.nothing_sent());
+    EXPECT_TRUE(s.no_unread_requests());
 }
 
 // A list removes an upstream while a connection to it is being established: the request goes to another
 // upstream at once.
 TEST(PendingConnect, ARemovedUpstreamGetsNoRequest) {
     for (const std::string how : {"leaving", "left", "not named"}) {
-        Stage s;
+        HostHarness s;
         extend_time_limits(s);
         DelayedAcceptUpstream slow(s);
         s.start();
         const auto client = client_waiting_for_connection(s);
-        json update = s.list(9, how == "not named");
-        update["hosts"] = {how == "not named" ? s.upstream(1) : s.upstream(0, how.c_str())};
+        json update = s.list_json(9, how == "not named");
+        update["hosts"] = {how == "not named" ? s.upstream_json(1) : s.upstream_json(0, how.c_str())};
         update["hosts"][0]["dial"] =
             how == "not named" ? update["hosts"][0]["dial"] : s.config["known"]["hosts"][0]["dial"];
-        s.until([&] { return received_request(s.discovery, 1); });
-        s.discovery.wires[0]->say(watch_response_head + chunk(update.dump() + "\n"));
+        s.run_until([&] { return received_request(s.discovery, 1); });
+        s.discovery.connections[0]->send(watch_response_head + chunk(update.dump() + "\n"));
         process_pending_events(s);
         slow.accept_all(s);
-        for (const auto& wire : slow.connections) EXPECT_FALSE(has(wire->in, "GET")) << how;
-        s.request().first->say(ok("from the other"));
-        EXPECT_TRUE(has(s.answer(*client), "from the other")) << how;
+        for (const auto& wire : slow.connections) EXPECT_FALSE(contains(wire->received, "GET")) << how;
+        s.await_request().first->send(ok_response("from the other"));
+        EXPECT_TRUE(contains(s.await_response(*client), "from the other")) << how;
         s.host.reset();
     }
 }
@@ -406,20 +409,20 @@
 // The connection for the retry is established after the group has forgotten the first attempt.
 TEST(DeduplicatedRetry, IsNotSentAfterItsWindow) {
     const std::chrono::milliseconds window(600);
-    Stage s;
+    HostHarness s;
     extend_time_limits(s);
     s.config["settings"]["services"][1]["aim"] = 200.0;
     s.config["settings"]["services"][1]["window"] = 600.0;
     s.config["settings"]["limits"]["max_attempts"] = 2;  // so that the retry waits without a timeout
     DelayedAcceptUpstream slow(s);
     s.start();
-    std::shared_ptr<Wire> client, first;
+    std::shared_ptr<PeerConnection> client, first;
     while (!first) {  // until a request goes to the other upstream first
-        client = s.client();
-        client->say(book());
+        client = s.connect_client();
+        client->send(deduplicated_request());
         process_pending_events(s);
-        for (const auto& wire : s.upstreams[1]->wires) {
-            if (!wire->take().empty()) first = wire;
+        for (const auto& wire : s.upstreams[1]->connections) {
+            if (!wire->take_message().empty()) first = wire;
         }
         if (!first) client->close();
     }
@@ -427,10 +430,10 @@
     bool window_over = false;
     window_timer.async_wait([&](auto) { window_over = true; });
     first->reset();
-    s.until([&] { return window_over; });
+    s.run_until([&] { return window_over; });
     slow.accept_all(s);
-    for (const auto& wire : slow.connections) EXPECT_FALSE(has(wire->in, "POST"));
-    EXPECT_EQ(status(s.answer(*client)), 502);
+    for (const auto& wire : slow.connections) EXPECT_FALSE(contains(wire->received, "POST"));
+    EXPECT_EQ(status_code(s.await_response(*client)), 502);
 }
 
 // ---------------------------------------------------------------------------------------------- shutdown
@@ -443,152 +446,155 @@
 // response partly written    | Shutdown.APartlyWrittenResponseIsCompleted
 // next on a keep-alive one   | Shutdown.RequestsSentDuringTheCloseAreAnswered
 
-bool drained(Stage& s) { return s.host->drained(); }
+bool drained(HostHarness& s) { return s.host->drained(); }
 
 // The time from SIGTERM to SIGKILL allows for deadlines of 3 s at most: a request with a later one must get
 // its response before SIGKILL, whether it came before or after SIGTERM, even if its upstream hangs.
 TEST(Shutdown, ADeadlineAfterTheKillIsShortened) {
-    Stage s;
+    HostHarness s;
     s.start();
-    const auto before = s.client();
-    before->say(once(5000));
-    const auto hangs = s.request().first;
+    const auto before = s.connect_client();
+    before->send(at_most_once_request(5000));
+    const auto hangs = s.await_request().first;
     asio::steady_timer kill(s.loop, std::chrono::milliseconds(3700));
     bool killed = false;
     s.host->drain();
     kill.async_wait([&](auto) { killed = true; });
-    const auto after = s.client();
-    after->say(once(5000));
-    s.request();
-    s.until([&] { return killed || (has(before->in, "\r\n\r\n") && has(after->in, "\r\n\r\n")); });
+    const auto after = s.connect_client();
+    after->send(at_most_once_request(5000));
+    s.await_request();
+    s.run_until([&] {
+        return killed || (contains(before->received, "\r\n\r\n") && contains(after->received, "\r\n\r\n"));
+    });
     EXPECT_FALSE(killed);
-    EXPECT_EQ(status(s.answer(*before)), 504);
-    EXPECT_EQ(status(s.answer(*after)), 502);
-    s.until([&] { return before->ended && after->ended && hangs->ended; });
+    EXPECT_EQ(status_code(s.await_response(*before)), 504);
+    EXPECT_EQ(status_code(s.await_response(*after)), 502);
+    s.run_until([&] { return before->peer_closed && after->peer_closed && hangs->peer_closed; });
     before->close();
     after->close();
-    s.until([&] { return killed || drained(s); });
+    s.run_until([&] { return killed || drained(s); });
     EXPECT_FALSE(killed);
 }
 
 // More connections are in the listen backlog than one turn of the loop accepts when the last open connection,
 // which has kept the program running, closes.
 TEST(Shutdown, ConnectionsNotYetAcceptedAreServed) {
-    Stage s(1);
+    HostHarness s(1);
     s.config["settings"]["services"][0]["aim"] = 4000.0;
     s.start();
-    const auto idle = s.client(), last = s.client();
-    last->say(look());
-    const auto wire = s.request().first;
+    const auto idle = s.connect_client(), last = s.connect_client();
+    last->send(idempotent_request());
+    const auto wire = s.await_request().first;
     s.host->drain();
-    s.until([&] { return idle->ended; });  // the drain has begun to close idle connections
-    wire->say(ok());
-    s.until([&] { return last->ended; });
+    s.run_until([&] { return idle->peer_closed; });  // the drain has begun to close idle connections
+    wire->send(ok_response());
+    s.run_until([&] { return last->peer_closed; });
     last->close();
-    std::vector<std::shared_ptr<Wire>> late;
+    std::vector<std::shared_ptr<PeerConnection>> late;
     for (int i = 0; i < 20; ++i) {
-        late.push_back(s.client());
-        late.back()->say(look());
+        late.push_back(s.connect_client());
+        late.back()->send(idempotent_request());
     }
     std::size_t answered = 0;
-    s.until([&] {
-        for (const auto& wire : s.upstreams[0]->wires) {
-            if (!wire->take().empty()) wire->say(ok());
+    s.run_until([&] {
+        for (const auto& wire : s.upstreams[0]->connections) {
+            if (!wire->take_message().empty()) wire->send(ok_response());
         }
         answered = 0;
-        for (const auto& wire : late) answered += status(wire->in) == 200 || status(wire->in) == 503;
+        for (const auto& wire : late)
+            answered += status_code(wire->received) == 200 || status_code(wire->received) == 503;
         return answered == late.size() || drained(s);
     });
     EXPECT_EQ(answered, late.size());
     for (const auto& wire : late) wire->close();
-    s.until([&] { return drained(s); });
+    s.run_until([&] { return drained(s); });
 }
 
 // A connection is opened just before the idle ones are closed: its first request may still be in transit.
 TEST(Shutdown, ANewConnectionCanSendItsRequest) {
-    Stage s(1);
+    HostHarness s(1);
     s.start();
-    const auto idle = s.client();
-    idle->say("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-    EXPECT_EQ(status(s.answer(*idle)), 200);
-    std::shared_ptr<Wire> fresh;
+    const auto idle = s.connect_client();
+    idle->send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+    EXPECT_EQ(status_code(s.await_response(*idle)), 200);
+    std::shared_ptr<PeerConnection> fresh;
     asio::steady_timer shortly(s.loop, std::chrono::milliseconds(400));
-    shortly.async_wait([&](auto) { fresh = s.client(); });
+    shortly.async_wait([&](auto) { fresh = s.connect_client(); });
     s.host->drain();
-    s.until([&] { return fresh && idle->ended; });
+    s.run_until([&] { return fresh && idle->peer_closed; });
     process_pending_events(s);
-    EXPECT_FALSE(fresh->ended);
-    fresh->say(look());
-    s.request().first->say(ok());
-    EXPECT_EQ(status(s.answer(*fresh)), 200);
+    EXPECT_FALSE(fresh->peer_closed);
+    fresh->send(idempotent_request());
+    s.await_request().first->send(ok_response());
+    EXPECT_EQ(status_code(s.await_response(*fresh)), 200);
     fresh->close();
-    s.until([&] { return drained(s); });
+    s.run_until([&] { return drained(s); });
 }
 
 TEST(Shutdown, ARequestThatWaitsForABackOffIsAnswered) {
-    Stage s;
+    HostHarness s;
     s.config["settings"]["services"][0]["aim"] = 2000.0;
     s.start();
-    const auto client = s.client();
-    client->say(look());
-    s.request().first->reset();  // the retry waits for its back-off
+    const auto client = s.connect_client();
+    client->send(idempotent_request());
+    s.await_request().first->reset();  // the retry waits for its back-off
     process_pending_events(s);
     s.host->drain();
     s.host->drain();  // SIGTERM may come twice
-    s.request().first->say(ok());
-    EXPECT_EQ(status(s.answer(*client)), 200);
-    s.until([&] { return client->ended; });
+    s.await_request().first->send(ok_response());
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
+    s.run_until([&] { return client->peer_closed; });
     client->close();
-    s.until([&] { return drained(s); });
+    s.run_until([&] { return drained(s); });
 }
 
 // The response is larger than the socket buffers, and its client continues to read only after SIGTERM.
 TEST(Shutdown, APartlyWrittenResponseIsCompleted) {
-    Stage s(1);
+    HostHarness s(1);
     s.start();
     tcp::socket slow(s.loop);
     slow.open(tcp::v4());
     slow.set_option(asio::socket_base::receive_buffer_size(2048));
     slow.connect(s.host->address());
-    asio::write(slow, asio::buffer(look()));
+    asio::write(slow, asio::buffer(idempotent_request()));
     const std::string body(60000, 'x');
-    s.request().first->say(ok(body));
+    s.await_request().first->send(ok_response(body));
     process_pending_events(s);
     s.host->drain();
-    const auto client = std::make_shared<Wire>(std::move(slow));
+    const auto client = std::make_shared<PeerConnection>(std::move(slow));
     client->start();
-    EXPECT_TRUE(has(s.answer(*client), body));
-    s.until([&] { return client->ended; });
+    EXPECT_TRUE(contains(s.await_response(*client), body));
+    s.run_until([&] { return client->peer_closed; });
     client->close();
-    s.until([&] { return drained(s); });
+    s.run_until([&] { return drained(s); });
 }
 
 // During the drain a client sends its next request on a keep-alive connection as soon as it has a response.
 // At most one request is lost, which the balancer has not read when it closes; the client would resend that
 // one elsewhere.
 TEST(Shutdown, RequestsSentDuringTheCloseAreAnswered) {
-    Stage s(1);
+    HostHarness s(1);
     s.start();
-    const auto client = s.client();
+    const auto client = s.connect_client();
     int sent = 1, answered = 0;
-    client->say(look());
+    client->send(idempotent_request());
     s.host->drain();
-    s.until([&] {
-        for (const auto& wire : s.upstreams[0]->wires) {
-            if (!wire->take().empty()) wire->say(ok());
+    s.run_until([&] {
+        for (const auto& wire : s.upstreams[0]->connections) {
+            if (!wire->take_message().empty()) wire->send(ok_response());
         }
-        if (const auto answer = client->take(); !answer.empty()) {
-            answered += status(answer) == 200;
-            if (!has(answer, "Connection: close")) {
-                client->say(look());
+        if (const auto answer = client->take_message(); !answer.empty()) {
+            answered += status_code(answer) == 200;
+            if (!contains(answer, "Connection: close")) {
+                client->send(idempotent_request());
                 ++sent;
             }
         }
-        return client->ended;
+        return client->peer_closed;
     });
     EXPECT_LE(sent, answered + 1);
     client->close();
-    s.until([&] { return drained(s); });
+    s.run_until([&] { return drained(s); });
 }
 
 }  // namespace
--- a/tests/discovery_peers.h
+++ b/tests/discovery_peers.h
@@ -41,15 +41,16 @@
 
 // Returns whether discovery has received a complete request on connection `number`, counted from 1.
 inline bool received_request(const Listener& discovery, std::size_t number) {
-    return discovery.wires.size() >= number && has(discovery.wires[number - 1]->in, "\r\n\r\n");
+    return discovery.connections.size() >= number &&
+           contains(discovery.connections[number - 1]->received, "\r\n\r\n");
 }
 
 // Returns the connections that carry a call, in the order of their accept. Leaves out those of reachability
 // checks, which carry no bytes.
-inline std::vector<std::shared_ptr<Wire>> received_calls(const Listener& discovery) {
-    std::vector<std::shared_ptr<Wire>> calls;
-    for (const auto& wire : discovery.wires) {
-        if (!wire->in.empty()) calls.push_back(wire);
+inline std::vector<std::shared_ptr<PeerConnection>> received_calls(const Listener& discovery) {
+    std::vector<std::shared_ptr<PeerConnection>> calls;
+    for (const auto& wire : discovery.connections) {
+        if (!wire->received.empty()) calls.push_back(wire);
     }
     return calls;
 }
--- a/tests/discovery_wait_test.cpp
+++ b/tests/discovery_wait_test.cpp
@@ -49,19 +49,20 @@
     void free_backlog_slot() { accepted_filler_ = acceptor_.accept(); }
 
     std::size_t checks() const {
-        return static_cast<std::size_t>(std::count_if(
-            wires.begin(), wires.end(), [](const auto& wire) { return wire->in.empty() && wire->ended; }));
+        return static_cast<std::size_t>(
+            std::count_if(connections.begin(), connections.end(),
+                          [](const auto& wire) { return wire->received.empty() && wire->peer_closed; }));
     }
 
-    std::vector<std::shared_ptr<Wire>> wires;  // in the order of their accept
+    std::vector<std::shared_ptr<PeerConnection>> connections;  // in the order of their accept
 
 private:
     void accept() {
-        if (max_accepts_ && wires.size() == *max_accepts_) return fill();
+        if (max_accepts_ && connections.size() == *max_accepts_) return fill();
         acceptor_.async_accept([this](boost::system::error_code error, tcp::socket socket) {
             if (error) return;
-            wires.push_back(std::make_shared<Wire>(std::move(socket)));
-            wires.back()->start();
+            connections.push_back(std::make_shared<PeerConnection>(std::move(socket)));
+            connections.back()->start();
             accept();
         });
     }
@@ -115,7 +116,7 @@
         timer->async_wait([timer, step = std::move(step)](boost::system::error_code) { step(); });
     }
     void send_after(milliseconds delay, std::string text) {
-        after(delay, [this, text = std::move(text)] { machine.wires[0]->say(text); });
+        after(delay, [this, text = std::move(text)] { machine.connections[0]->send(text); });
     }
     void expect(Expected expected) { expected_ = std::move(expected); }
 
@@ -182,7 +183,7 @@
 
     Scenario& list = scenarios.add("fetch with a response after 4 s", unlimited);
     list.start_call(Scenario::Call::fetch);
-    list.send_after(milliseconds(4000), ok(full_list));
+    list.send_after(milliseconds(4000), ok_response(full_list));
     list.expect({{list_at(milliseconds(4000))}, 1});
 
     Scenario& longer =
@@ -264,12 +265,12 @@
 void add_ends_during_a_check(Scenarios& scenarios) {
     Scenario& reset = scenarios.add("reset during a check", 1);
     reset.start_call();
-    reset.after(during_check, [&reset] { reset.machine.wires[0]->reset(); });
+    reset.after(during_check, [&reset] { reset.machine.connections[0]->reset(); });
     reset.expect({{failed_at(during_check)}, 0});
 
     Scenario& closed = scenarios.add("closed during a check", 1);
     closed.start_call();
-    closed.after(during_check, [&closed] { closed.machine.wires[0]->close(); });
+    closed.after(during_check, [&closed] { closed.machine.connections[0]->close(); });
     closed.expect({{failed_at(during_check)}, 0});
 
     Scenario& stopped = scenarios.add("stopped during a check", 1);
@@ -299,7 +300,7 @@
         moved.client->watch();
     });
     const milliseconds response_at = during_check + milliseconds(500);
-    moved.after(response_at, [&target] { target.wires.at(0)->say(empty_line); });
+    moved.after(response_at, [&target] { target.connections.at(0)->send(empty_line); });
     moved.expect({{list_at(response_at), silent_at(response_at + idle_timeout)}, 0});
 }
 
@@ -391,8 +392,8 @@
         check_succeeds.machine.free_backlog_slot();
         check_refused.machine.refuse();
         std::this_thread::sleep_for(until_syn_retransmit);
-        responded.machine.wires[0]->say(empty_line);
-        check_refused.machine.wires[0]->say(empty_line);
+        responded.machine.connections[0]->send(empty_line);
+        check_refused.machine.connections[0]->send(empty_line);
         std::this_thread::sleep_for(blocked_for - until_syn_retransmit);
     });
     run_for(loop, during_check + blocked_for + milliseconds(500));
@@ -402,12 +403,12 @@
 // The agent that pushes lists doesn't queue calls, and the policy uses a pushed list until it receives
 // another.
 TEST(DiscoveryWait, ACallForPushedListsGetsNoReachabilityCheck) {
-    Stage s;
+    HostHarness s;
     s.config["settings"]["registry_mode"] = "push";
     s.start();
-    s.until([&] { return received_request(s.discovery, 1); });
+    s.run_until([&] { return received_request(s.discovery, 1); });
     run_for(s.loop, check_interval + milliseconds(200));
-    EXPECT_EQ(s.discovery.wires.size(), 1U);
+    EXPECT_EQ(s.discovery.connections.size(), 1U);
 }
 
 }  // namespace
--- a/tests/second_answer_load_test.cpp
+++ b/tests/second_answer_load_test.cpp
@@ -258,7 +258,7 @@
         const std::string body = "call=" + std::to_string(call_id) +
                                  " answer=" + std::to_string(record_.responses.size()) +
                                  (kind == ResponseKind::first ? " first" : " second");
-        asio::write(socket_, asio::buffer(ok(body)), error);
+        asio::write(socket_, asio::buffer(ok_response(body)), error);
         if (error) return;
         WrittenResponse written{call_id, kind, index_, Steady::now(), {}};
         if (last_response_at_) written.since_previous = since_last_response(written.at);
@@ -316,7 +316,7 @@
 // Sends one request after another on its connection, each after its pause.
 class PausingClient {
 public:
-    PausingClient(Stage& stage, RequestQueue& queue, const std::vector<Plan>& plans,
+    PausingClient(HostHarness& stage, RequestQueue& queue, const std::vector<Plan>& plans,
                   const TrafficRecord& record, Counts& counts)
         : stage_(stage), queue_(queue), plans_(plans), record_(record), counts_(counts), pause_(stage.loop) {
         schedule_next();
@@ -325,10 +325,10 @@
     // Handles what has arrived; returns true once nothing is left to do.
     bool process_received() {
         if (!call_id_ || pausing_) return !call_id_;
-        if (const std::string message = connection_->take(); !message.empty()) {
+        if (const std::string message = connection_->take_message(); !message.empty()) {
             check_response(message);
             schedule_next();
-        } else if (connection_->ended) {
+        } else if (connection_->peer_closed) {
             send();
         }
         return !call_id_;
@@ -348,13 +348,13 @@
 
     void send() {
         pausing_ = false;
-        if (!connection_ || connection_->ended) connection_ = stage_.client();
-        connection_->say(look(5000, std::to_string(*call_id_).c_str()));
+        if (!connection_ || connection_->peer_closed) connection_ = stage_.connect_client();
+        connection_->send(idempotent_request(5000, std::to_string(*call_id_).c_str()));
     }
 
     void check_response(const std::string& message) {
         const auto delivered_at = Steady::now();
-        if (status(message) != 200) {
+        if (status_code(message) != 200) {
             ++counts_.unserved;
             return;
         }
@@ -368,34 +368,34 @@
         if (counts_.trace.empty()) counts_.trace = trace_of(record_, response, *call_id_, delivered_at);
     }
 
-    Stage& stage_;
+    HostHarness& stage_;
     RequestQueue& queue_;
     const std::vector<Plan>& plans_;
     const TrafficRecord& record_;
     Counts& counts_;
     asio::steady_timer pause_;
-    std::shared_ptr<Wire> connection_;
+    std::shared_ptr<PeerConnection> connection_;
     std::optional<std::size_t> call_id_;  // the request that is next or in flight
     bool pausing_ = false;
 };
 
 // Runs a new balancer, its upstreams and its clients until all requests have a response.
 void run_episode(std::size_t clients, std::size_t upstreams, std::mt19937_64& random, Counts& counts) {
-    Stage stage(static_cast<int>(upstreams));
+    HostHarness stage(static_cast<int>(upstreams));
     TrafficRecord record;
     RequestQueue queue{0, 60 + 20 * clients};
     const std::vector<Plan> plans = draw_plans(queue.end, random);
     std::vector<std::unique_ptr<DuplicatingUpstream>> duplicating_upstreams;
     for (std::size_t i = 0; i < upstreams; ++i) {
         duplicating_upstreams.push_back(std::make_unique<DuplicatingUpstream>(stage.loop, plans, record));
-        stage.config["known"]["hosts"][i]["dial"] = text_of(duplicating_upstreams[i]->address());
+        stage.config["known"]["hosts"][i]["dial"] = endpoint_text(duplicating_upstreams[i]->address());
     }
     stage.start();
     std::vector<std::unique_ptr<PausingClient>> pausing_clients;
     for (std::size_t i = 0; i < clients; ++i) {
         pausing_clients.push_back(std::make_unique<PausingClient>(stage, queue, plans, record, counts));
     }
-    stage.until([&] {
+    stage.run_until([&] {
         std::size_t done = 0;
         for (const auto& client : pausing_clients) done += client->process_received();
         return done == pausing_clients.size();
@@ -454,26 +454,26 @@
 
 // A response of that many bytes in total.
 std::string response_of_size(std::size_t bytes) {
-    const std::size_t framing = ok(std::string(bytes, '.')).size() - bytes;
-    return ok(std::string(bytes - framing, '.'));
+    const std::size_t framing = ok_response(std::string(bytes, '.')).size() - bytes;
+    return ok_response(std::string(bytes - framing, '.'));
 }
 
 // Returns the second client's response where both responses to the first client's request arrive at once and
 // the second client's request arrives in the same turn of the loop, which is blocked between the two.
 std::string second_client_response(std::size_t bytes_of_first) {
-    Stage s(1);
+    HostHarness s(1);
     s.start();
-    const auto one = s.client();
-    const auto two = s.client();
-    one->say(look(5000, "one"));
-    const auto connection = s.request().first;
+    const auto one = s.connect_client();
+    const auto two = s.connect_client();
+    one->send(idempotent_request(5000, "one"));
+    const auto connection = s.await_request().first;
     process_pending_events(s);
     LoopBlocker loop_blocker(s.loop);
-    connection->say(response_of_size(bytes_of_first) + ok("to the first, again"));
+    connection->send(response_of_size(bytes_of_first) + ok_response("to the first, again"));
     loop_blocker.trigger();
-    two->say(look(5000, "two"));
-    s.request().first->say(ok("to the second"));
-    return s.answer(*two);
+    two->send(idempotent_request(5000, "two"));
+    s.await_request().first->send(ok_response("to the second"));
+    return s.await_response(*two);
 }
 
 // Guards against a duplicate response that the system has delivered but the loop has not handled: where the
@@ -481,7 +481,7 @@
 // connection looks quiet. The sizes are those that a read may have.
 TEST(DuplicateInABlockedTurn, ReachesNoOtherRequest) {
     for (const std::size_t bytes : {4096U, 8192U, 16384U}) {
-        EXPECT_TRUE(has(second_client_response(bytes), "to the second")) << bytes << " bytes";
+        EXPECT_TRUE(contains(second_client_response(bytes), "to the second")) << bytes << " bytes";
     }
 }
 
--- a/tests/second_answer_worlds_test.cpp
+++ b/tests/second_answer_worlds_test.cpp
@@ -32,7 +32,7 @@
     UpstreamResponse on_request(const std::string& call_id) {
         if (first_call_id_.empty()) first_call_id_ = call_id;
         const bool duplicates = behavior_ == UpstreamBehavior::duplicates_first_response;
-        return {ok("42 in stock"), duplicates ? first_call_id_ : call_id};
+        return {ok_response("42 in stock"), duplicates ? first_call_id_ : call_id};
     }
 
 private:
@@ -56,29 +56,29 @@
 
 // A client sends the same request twice, the second time after the reuse delay of the first one's connection.
 Observation observe(UpstreamBehavior behavior) {
-    Stage s(1);
+    HostHarness s(1);
     s.start();
     ScriptedUpstream upstream(behavior);
     Observation observed;
-    const auto client = s.client();
-    std::vector<std::shared_ptr<Wire>> used_connections;
+    const auto client = s.connect_client();
+    std::vector<std::shared_ptr<PeerConnection>> used_connections;
     for (const char* call_id : {"first", "second"}) {
-        client->say(look(5000, call_id));
-        const auto [connection, request] = s.request();
+        client->send(idempotent_request(5000, call_id));
+        const auto [connection, request] = s.await_request();
         used_connections.push_back(connection);
         const UpstreamResponse response = upstream.on_request(call_id);
-        connection->say(response.bytes);
+        connection->send(response.bytes);
         observed.request_call_ids.push_back(call_id);
         observed.host_traffic.insert(observed.host_traffic.end(),
                                      {"sent " + without_budget(request), "got " + response.bytes});
-        observed.client_responses.push_back(s.answer(*client));
+        observed.client_responses.push_back(s.await_response(*client));
         observed.response_call_ids.push_back(response.call_id);
         const auto delay_over = std::chrono::steady_clock::now() + longer_than_reuse_delay;
-        s.until([&] { return std::chrono::steady_clock::now() >= delay_over; });
+        s.run_until([&] { return std::chrono::steady_clock::now() >= delay_over; });
     }
     EXPECT_TRUE(used_connections.front() == used_connections.back()) << "the connection was not reused";
-    for (const auto& connection : s.upstreams[0]->wires)
-        observed.host_traffic.push_back(connection->ended ? "ended" : "stands");
+    for (const auto& connection : s.upstreams[0]->connections)
+        observed.host_traffic.push_back(connection->peer_closed ? "ended" : "stands");
     return observed;
 }
 
@@ -91,7 +91,7 @@
     const Observation twice = observe(UpstreamBehavior::duplicates_first_response);
     EXPECT_EQ(once.host_traffic, twice.host_traffic);
     EXPECT_EQ(once.client_responses, twice.client_responses);
-    EXPECT_TRUE(has(once.client_responses.back(), "42 in stock"));
+    EXPECT_TRUE(contains(once.client_responses.back(), "42 in stock"));
     EXPECT_EQ(once.response_call_ids, once.request_call_ids);
     EXPECT_EQ(twice.response_call_ids.back(), twice.request_call_ids.front());
 }
--- a/tests/slow_upstream.h
+++ b/tests/slow_upstream.h
@@ -1,4 +1,4 @@
-// An upstream that delays accepting connections, and helpers for the tests that use a Stage.
+// An upstream that delays accepting connections, and helpers for the tests that use a HostHarness.
 #pragma once
 
 #include <memory>
@@ -11,11 +11,11 @@
 
 // Runs the loop until every event that is pending now has been handled. Each response needs turns of the loop
 // of its own.
-inline void process_pending_events(Stage& s) {
+inline void process_pending_events(HostHarness& s) {
     for (int i = 0; i < 3; ++i) {
-        const auto client = s.client();
-        client->say("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-        s.answer(*client);
+        const auto client = s.connect_client();
+        client->send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+        s.await_response(*client);
     }
 }
 
@@ -25,13 +25,13 @@
 // An upstream to which connections are established only on demand: until then its listen backlog is full.
 class DelayedAcceptUpstream {
 public:
-    explicit DelayedAcceptUpstream(Stage& s) : loop_(s.loop), acceptor_(s.loop) {
+    explicit DelayedAcceptUpstream(HostHarness& s) : loop_(s.loop), acceptor_(s.loop) {
         acceptor_.open(tcp::v4());
         acceptor_.bind(loopback());
         acceptor_.listen(0);
-        s.config["known"]["hosts"][0]["dial"] = text_of(acceptor_.local_endpoint());
+        s.config["known"]["hosts"][0]["dial"] = endpoint_text(acceptor_.local_endpoint());
         for (int i = 0; i < 4; ++i) queue_connection();
-        s.until([&] { return established_count_ > 0; });
+        s.run_until([&] { return established_count_ > 0; });
     }
     ~DelayedAcceptUpstream() { acceptor_.close(); }
 
@@ -45,20 +45,21 @@
         });
     }
     // Accepts connections until all queued ones are established.
-    void accept_all(Stage& s) {
+    void accept_all(HostHarness& s) {
         queue_connection();  // queued behind the host's connections
         accept();
-        s.until([&] { return established_count_ == queued_.size() && connections.size() >= queued_.size(); });
+        s.run_until(
+            [&] { return established_count_ == queued_.size() && connections.size() >= queued_.size(); });
         process_pending_events(s);
     }
 
-    std::vector<std::shared_ptr<Wire>> connections;
+    std::vector<std::shared_ptr<PeerConnection>> connections;
 
 private:
     void accept() {
         acceptor_.async_accept([this](boost::system::error_code error, tcp::socket socket) {
             if (error) return;
-            connections.push_back(std::make_shared<Wire>(std::move(socket)));
+            connections.push_back(std::make_shared<PeerConnection>(std::move(socket)));
             connections.back()->start();
             accept();
         });
@@ -70,7 +71,7 @@
 };
 
 // Extends deadlines and the connect timeout, so that no slow connection attempt is given up.
-inline void extend_time_limits(Stage& s) {
+inline void extend_time_limits(HostHarness& s) {
     for (auto& c : s.config["settings"]["services"]) c["aim"] = 15000.0;
     for (auto& c : s.config["settings"]["services"]) c["hard_limit"] = 15000.0;
     s.config["settings"]["limits"]["connect_timeout"] = 15000.0;
--- a/tests/standing_terms_test.cpp
+++ b/tests/standing_terms_test.cpp
@@ -29,11 +29,11 @@
 // Tolerance that the protocol adds to each time limit on sockets.
 constexpr milliseconds socket_tolerance(50);
 
-void wait_for(Stage& s, milliseconds span) {
+void wait_for(HostHarness& s, milliseconds span) {
     asio::steady_timer timer(s.loop, span);
     bool over = false;
     timer.async_wait([&](auto) { over = true; });
-    s.until([&] { return over; });
+    s.run_until([&] { return over; });
 }
 
 // ------------------------------------------------------------- upstreams that fail around accepting
@@ -55,7 +55,7 @@
 }
 
 TEST(UpstreamReset, BeforeTheFirstByteCountsAsAFailedConnect) {
-    Stage s(0);
+    HostHarness s(0);
     tcp::acceptor acceptor(s.loop, loopback());
     SingleOutcomeRecorder sink;
     sink.when_connected = [&] {
@@ -68,33 +68,33 @@
     upstreams.set_address(1, acceptor.local_endpoint());
     const Time expires = clock.now() + std::chrono::seconds(15);
     upstreams.send({1, 0}, 1, bare_request(10), expires, expires);
-    s.until([&] { return sink.outcome.has_value(); });
+    s.run_until([&] { return sink.outcome.has_value(); });
     EXPECT_EQ(sink.outcome, Outcome::connect_failed);
 }
 
 // The request is larger than the system's socket buffers, so that its last byte can't have been written.
 TEST(UpstreamReset, InTheMiddleOfTheRequestCountsAsAFailedConnect) {
     constexpr std::size_t size = 64 << 20;
-    Stage s(1);
+    HostHarness s(1);
     SingleOutcomeRecorder sink;
     const net::Clock clock;
     net::Upstreams upstreams(s.loop, clock, {std::chrono::seconds(5), {}, 8}, {}, sink);
     upstreams.set_address(1, s.upstreams[0]->address());
     const Time expires = clock.now() + std::chrono::seconds(15);
     upstreams.send({1, 0}, 1, bare_request(size), expires, expires);
-    auto& wires = s.upstreams[0]->wires;
-    s.until([&] { return !wires.empty() && !wires[0]->in.empty(); });
-    ASSERT_LT(wires[0]->in.size(), size / 2);
+    auto& wires = s.upstreams[0]->connections;
+    s.run_until([&] { return !wires.empty() && !wires[0]->received.empty(); });
+    ASSERT_LT(wires[0]->received.size(), size / 2);
     wires[0]->reset();
-    s.until([&] { return sink.outcome.has_value(); });
+    s.run_until([&] { return sink.outcome.has_value(); });
     EXPECT_EQ(sink.outcome, Outcome::connect_failed);
 }
 
 // An upstream that resets each connection as soon as it has accepted it.
 class ResettingUpstream {
 public:
-    explicit ResettingUpstream(Stage& s) : acceptor_(s.loop, loopback()) {
-        s.config["known"]["hosts"][0]["dial"] = text_of(acceptor_.local_endpoint());
+    explicit ResettingUpstream(HostHarness& s) : acceptor_(s.loop, loopback()) {
+        s.config["known"]["hosts"][0]["dial"] = endpoint_text(acceptor_.local_endpoint());
         accept();
     }
     int resets = 0;
@@ -116,27 +116,27 @@
 // not written completely, and then once; otherwise it fails with 502 and not with 503.
 TEST(UpstreamReset, OfEachAcceptedConnection) {
     for (const bool unsafe : {true, false}) {
-        Stage s;
+        HostHarness s;
         ResettingUpstream resetting(s);
         s.start();
         int served = 0, arrived = 0;
         for (int i = 0; i < 12; ++i) {
-            const auto client = s.client();
-            client->say(unsafe ? once() : look());
+            const auto client = s.connect_client();
+            client->send(unsafe ? at_most_once_request() : idempotent_request());
             std::string answer;
-            s.until([&] {
-                for (const auto& wire : s.upstreams[1]->wires) {
-                    if (wire->take().empty()) continue;
+            s.run_until([&] {
+                for (const auto& wire : s.upstreams[1]->connections) {
+                    if (wire->take_message().empty()) continue;
                     ++arrived;
-                    wire->say(ok());
+                    wire->send(ok_response());
                 }
-                return !(answer = client->take()).empty();
+                return !(answer = client->take_message()).empty();
             });
-            served += status(answer) == 200;
-            EXPECT_TRUE(status(answer) == 200 || (unsafe && status(answer) == 502)) << answer;
+            served += status_code(answer) == 200;
+            EXPECT_TRUE(status_code(answer) == 200 || (unsafe && status_code(answer) == 502)) << answer;
         }
         process_pending_events(s);
-        EXPECT_TRUE(s.nothing_sent());
+        EXPECT_TRUE(s.no_unread_requests());
         EXPECT_EQ(arrived, served) << unsafe;
         EXPECT_GT(resetting.resets, 0);
         s.host.reset();
@@ -145,36 +145,37 @@
 
 // The system has established the connection and received the whole request when the listening process dies.
 TEST(UpstreamReset, AfterARequestBeforeAcceptMayHaveExecutedIt) {
-    Stage s(1);
+    HostHarness s(1);
     tcp::acceptor acceptor(s.loop, loopback());
-    s.config["known"]["hosts"][0]["dial"] = text_of(acceptor.local_endpoint());
+    s.config["known"]["hosts"][0]["dial"] = endpoint_text(acceptor.local_endpoint());
     s.start();
-    const auto client = s.client();
-    client->say(once());
+    const auto client = s.connect_client();
+    client->send(at_most_once_request());
     process_pending_events(s);  // the request has been written
     acceptor.close();
-    EXPECT_EQ(status(s.answer(*client)), 502);  // and not 503, which would say that it was not executed
+    EXPECT_EQ(status_code(s.await_response(*client)),
+              502);  // and not 503, which would say that it was not executed
 }
 
 TEST(UpstreamReset, BeforeAcceptRetriesASafeRequest) {
-    Stage s;
+    HostHarness s;
     tcp::acceptor acceptor(s.loop, loopback());
-    s.config["known"]["hosts"][0]["dial"] = text_of(acceptor.local_endpoint());
+    s.config["known"]["hosts"][0]["dial"] = endpoint_text(acceptor.local_endpoint());
     s.config["settings"]["services"][0]["aim"] = 5000.0;  // no timeout before the process dies
     s.start();
-    std::shared_ptr<Wire> client;
+    std::shared_ptr<PeerConnection> client;
     for (bool waits = false; !waits;) {
-        client = s.client();
-        client->say(look());
+        client = s.connect_client();
+        client->send(idempotent_request());
         process_pending_events(s);
-        waits = s.nothing_sent();
+        waits = s.no_unread_requests();
         if (waits) break;
-        s.request().first->say(ok());
-        EXPECT_EQ(status(s.answer(*client)), 200);
+        s.await_request().first->send(ok_response());
+        EXPECT_EQ(status_code(s.await_response(*client)), 200);
     }
     acceptor.close();
-    s.request().first->say(ok());
-    EXPECT_EQ(status(s.answer(*client)), 200);
+    s.await_request().first->send(ok_response());
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
 }
 
 // --------------------------------------------------------------------------------------- a running program
@@ -182,7 +183,7 @@
 // Runs the balancer program as a child process, which is killed when this object is destroyed.
 class BalancerProcess {
 public:
-    explicit BalancerProcess(Stage& s) : stage_(s), stderr_(s.loop) {
+    explicit BalancerProcess(HostHarness& s) : stage_(s), stderr_(s.loop) {
         std::string directory = testing::TempDir() + "flaxdoor-XXXXXX";
         if (!::mkdtemp(directory.data())) throw std::runtime_error("could not create a temporary directory");
         directory_ = directory;
@@ -205,7 +206,7 @@
     // Waits for a line on standard error that begins with this text, behind those found by earlier calls.
     void expect_line(const std::string& prefix) {
         std::size_t at = std::string::npos;
-        stage_.until([&] {
+        stage_.run_until([&] {
             at = ("\n" + stderr_text_).find("\n" + prefix, search_from_);
             return at != std::string::npos && stderr_text_.find('\n', at) != std::string::npos;
         });
@@ -244,7 +245,7 @@
         });
     }
 
-    Stage& stage_;
+    HostHarness& stage_;
     asio::posix::stream_descriptor stderr_;
     std::filesystem::path directory_;
     pid_t pid_ = 0;
@@ -256,11 +257,11 @@
 // A configuration file that can't be read or parsed is reported. The program keeps its configuration, keeps
 // calling discovery at the known address, and applies the next valid file.
 TEST(Reload, AnInvalidConfigurationLeavesThePreviousOneInForce) {
-    Stage s;
+    HostHarness s;
     Listener moved(s.loop);
     s.config["settings"]["invariants"]["ask_within"] = 200.0;
     json next = s.config;
-    next["discovery"] = text_of(moved.address());
+    next["discovery"] = endpoint_text(moved.address());
     json no_address = next;
     no_address["discovery"] = "nowhere";
     json no_settings = next;
@@ -269,7 +270,7 @@
     BalancerProcess program(s);
     program.expect_line("listening");
     std::size_t calls = 1;
-    s.until([&] { return received_request(s.discovery, calls); });
+    s.run_until([&] { return received_request(s.discovery, calls); });
     for (const std::string& broken : {std::string(), valid.substr(0, valid.size() / 2), std::string("[]"),
                                       no_address.dump(), no_settings.dump(), std::string("no file")}) {
         program.write_config(broken);
@@ -277,15 +278,15 @@
         program.signal(SIGHUP);
         program.expect_line("flaxdoor: configuration " + program.config_path().string() + ": ");
         ASSERT_TRUE(program.is_running()) << broken;
-        s.discovery.wires[calls - 1]->close();  // the next call goes to the same address
+        s.discovery.connections[calls - 1]->close();  // the next call goes to the same address
         ++calls;
-        s.until([&] { return received_request(s.discovery, calls); });
-        EXPECT_TRUE(moved.wires.empty()) << broken;
+        s.run_until([&] { return received_request(s.discovery, calls); });
+        EXPECT_TRUE(moved.connections.empty()) << broken;
     }
     program.write_config(valid);
     program.signal(SIGHUP);
     program.expect_line("configuration read anew");
-    s.until([&] { return received_request(moved, 1); });
+    s.run_until([&] { return received_request(moved, 1); });
     program.signal(SIGTERM);
     program.expect_line("drained");
     EXPECT_EQ(program.exit_status(), 0);
@@ -294,7 +295,7 @@
 // ------------------------------------------------------------------------ requests that reach their deadline
 
 struct PendingRequest {
-    std::shared_ptr<Wire> client;
+    std::shared_ptr<PeerConnection> client;
     SteadyClock::time_point sent;
     milliseconds budget;
     std::string what;
@@ -303,24 +304,26 @@
 
 // Sends requests of every class with different budgets at once, none of which can be served, and expects an
 // error response to each within its budget.
-void expect_responses_in_time(Stage& s, const std::string& why) {
+void expect_responses_in_time(HostHarness& s, const std::string& why) {
     std::vector<PendingRequest> all;
     for (const int budget : {60, 150, 400, 900}) {
-        for (const auto& request : {look(budget), once(budget), book(budget)}) {
-            all.push_back({s.client(), SteadyClock::now(), milliseconds(budget), request, {}});
-            all.back().client->say(request);
+        for (const auto& request :
+             {idempotent_request(budget), at_most_once_request(budget), deduplicated_request(budget)}) {
+            all.push_back({s.connect_client(), SteadyClock::now(), milliseconds(budget), request, {}});
+            all.back().client->send(request);
         }
     }
-    s.until([&] {
+    s.run_until([&] {
         for (auto& pending : all) {
-            if (!pending.answered && (pending.client->ended || has(pending.client->in, "\r\n\r\n")))
+            if (!pending.answered &&
+                (pending.client->peer_closed || contains(pending.client->received, "\r\n\r\n")))
                 pending.answered = SteadyClock::now();
         }
         return std::all_of(all.begin(), all.end(),
                            [](const PendingRequest& pending) { return pending.answered.has_value(); });
     });
     for (const auto& pending : all) {
-        EXPECT_GE(status(pending.client->in), 500) << why << ": " << pending.what;
+        EXPECT_GE(status_code(pending.client->received), 500) << why << ": " << pending.what;
         ASSERT_TRUE(pending.answered) << why << ": " << pending.what;
         EXPECT_LE(*pending.answered - pending.sent, pending.budget + socket_tolerance)
             << why << ": " << pending.what;
@@ -328,20 +331,20 @@
 }
 
 TEST(DeadlineExceeded, WhenUpstreamsHang) {
-    Stage s;
+    HostHarness s;
     s.start();
     expect_responses_in_time(s, "upstreams hang");
 }
 
 TEST(DeadlineExceeded, WhenThereAreNoUpstreams) {
-    Stage s(0);
+    HostHarness s(0);
     s.start();
     expect_responses_in_time(s, "no upstreams");
 }
 
 TEST(DeadlineExceeded, WhenConnectionsAreNotEstablished) {
     for (const double connect_timeout : {200.0, 15000.0}) {
-        Stage s(1);
+        HostHarness s(1);
         s.config["settings"]["limits"]["connect_timeout"] = connect_timeout;
         DelayedAcceptUpstream slow(s);
         s.start();
@@ -351,7 +354,7 @@
 }
 
 TEST(DeadlineExceeded, WhenConnectionsAreRefused) {
-    Stage s;
+    HostHarness s;
     for (const auto& upstream : s.upstreams) upstream->close();
     s.start();
     expect_responses_in_time(s, "connections are refused");
@@ -369,53 +372,54 @@
 // time.
 TEST(ForwardedBudget, OfARetryIsAtMostTheRemainingTime) {
     constexpr milliseconds budget(2000), rejection_delay(100);
-    Stage s(4);
+    HostHarness s(4);
     s.start();
-    const auto client = s.client();
+    const auto client = s.connect_client();
     const auto sent = SteadyClock::now();
-    client->say(look(budget.count()));
-    auto wire = s.request().first;
+    client->send(idempotent_request(budget.count()));
+    auto wire = s.await_request().first;
     for (int retry = 1; retry <= 3; ++retry) {
         wait_for(s, rejection_delay);
         const auto left = budget - (SteadyClock::now() - sent);
-        wire->say(rejection_response);
-        const auto next = s.request();
+        wire->send(rejection_response);
+        const auto next = s.await_request();
         EXPECT_GT(forwarded_budget(next.second), milliseconds(0)) << retry;
         EXPECT_LE(forwarded_budget(next.second), left) << retry;
         wire = next.first;
     }
-    wire->say(ok());
-    EXPECT_EQ(status(s.answer(*client)), 200);
+    wire->send(ok_response());
+    EXPECT_EQ(status_code(s.await_response(*client)), 200);
 }
 
 // The connection for the retry is established late: the request is written only then.
 TEST(ForwardedBudget, OfARetryIsTheRemainingTimeWhenItIsSent) {
     constexpr milliseconds budget(5000), connect_delay(600), tolerance(150);
-    Stage s;
+    HostHarness s;
     extend_time_limits(s);
     s.config["settings"]["limits"]["max_attempts"] = 2;  // so that the last may use all of the time
     DelayedAcceptUpstream slow(s);
     s.start();
-    std::shared_ptr<Wire> client;
+    std::shared_ptr<PeerConnection> client;
     SteadyClock::time_point sent;
     for (bool sent_elsewhere = false; !sent_elsewhere;) {  // until a request goes to the other upstream first
-        client = s.client();
+        client = s.connect_client();
         sent = SteadyClock::now();
-        client->say(look(budget.count()));
+        client->send(idempotent_request(budget.count()));
         process_pending_events(s);
-        sent_elsewhere = !s.nothing_sent();
+        sent_elsewhere = !s.no_unread_requests();
         if (!sent_elsewhere) client->close();
     }
-    s.request().first->say(rejection_response);
+    s.await_request().first->send(rejection_response);
     wait_for(s, connect_delay);
     const auto left = budget - (SteadyClock::now() - sent);
     slow.accept_all(s);
     std::string request;
-    s.until([&] {
+    s.run_until([&] {
         for (const auto& wire : slow.connections) {
-            if (const auto at = wire->in.find("GET "); at != std::string::npos) request = wire->in.substr(at);
+            if (const auto at = wire->received.find("GET "); at != std::string::npos)
+                request = wire->received.substr(at);
         }
-        return has(request, "\r\n\r\n");
+        return contains(request, "\r\n\r\n");
     });
     EXPECT_GT(forwarded_budget(request), milliseconds(0));
     EXPECT_LE(forwarded_budget(request), left + tolerance);
@@ -426,20 +430,22 @@
 // Many clients disconnect while no upstream is known; then discovery lists upstreams.
 TEST(ClientGone, NothingIsSentForAClientThatLeftBeforeItsFirstAttempt) {
     for (const std::string how : {"closes", "resets", "closes behind more"}) {
-        Stage s(2);
+        HostHarness s(2);
         s.config["known"]["hosts"] = json::array();
         s.start();
-        s.until([&] { return received_request(s.discovery, 1); });
-        std::vector<std::shared_ptr<Wire>> leaving;
+        s.run_until([&] { return received_request(s.discovery, 1); });
+        std::vector<std::shared_ptr<PeerConnection>> leaving;
         for (int i = 0; i < 30; ++i) {
-            leaving.push_back(s.client());
-            leaving.back()->say(i % 3 == 0 ? look(5000, "leaves") : i % 3 == 1 ? once() : book());
+            leaving.push_back(s.connect_client());
+            leaving.back()->send(i % 3 == 0   ? idempotent_request(5000, "leaves")
+                                 : i % 3 == 1 ? at_most_once_request()
+                                              : deduplicated_request());
         }
-        const auto staying = s.client();
-        staying->say(look(5000, "stays"));
+        const auto staying = s.connect_client();
+        staying->send(idempotent_request(5000, "stays"));
         process_pending_events(s);
         for (const auto& client : leaving) {
-            if (how == "closes behind more") client->say(std::string(100000, 'x'));
+            if (how == "closes behind more") client->send(std::string(100000, 'x'));
             if (how == "resets") {
                 client->reset();
             } else {
@@ -447,14 +453,14 @@
             }
         }
         process_pending_events(s);
-        s.discovery.wires[0]->say(watch_response_head + chunk(s.list(9, true).dump() + "\n"));
-        const auto [wire, request] = s.request();
-        EXPECT_TRUE(has(request, "X-Call-Id: stays\r\n")) << how;
-        wire->say(ok());
-        EXPECT_EQ(status(s.answer(*staying)), 200) << how;
+        s.discovery.connections[0]->send(watch_response_head + chunk(s.list_json(9, true).dump() + "\n"));
+        const auto [wire, request] = s.await_request();
+        EXPECT_TRUE(contains(request, "X-Call-Id: stays\r\n")) << how;
+        wire->send(ok_response());
+        EXPECT_EQ(status_code(s.await_response(*staying)), 200) << how;
         process_pending_events(s);
-        EXPECT_TRUE(s.nothing_sent()) << how;
-        EXPECT_EQ(s.connections(), 1U) << how;
+        EXPECT_TRUE(s.no_unread_requests()) << how;
+        EXPECT_EQ(s.upstream_connection_count(), 1U) << how;
         s.host.reset();
     }
 }
