--- a/src/simhost.cpp
+++ b/src/simhost.cpp
@@ -1,4 +1,5 @@
-// Hosts one Policy for each instance on the wire: reads a batch, lets the policies decide, writes the reply.
+// Host of the policies that a simulator runs, one Policy for each instance. Reads batches of events from
+// standard input and writes a reply with the policies' actions to standard output for each.
 #include <algorithm>
 #include <cstdio>
 #include <exception>
@@ -13,7 +14,7 @@
 
 using namespace flaxdoor;
 
-// One instance: its policy, and the sink that puts the policy's actions on the wire.
+// One instance: owns its policy and writes the policy's actions to the reply.
 class Instance : public Actions {
 public:
     Instance(std::uint32_t number, wire::ReplyWriter& reply) : number_(number), reply_(reply) {}
@@ -50,14 +51,18 @@
     std::unique_ptr<Policy> policy_;
 };
 
+// Owns the instances, each created by the first event that names it, and passes them their events.
 class Host {
 public:
+    // Handles all events of a batch and returns the reply. Throws wire::WireError on a malformed batch.
     std::string answer(const wire::BatchHeader& header, std::string_view body) {
         decoder_.decode(header, body, [&](const wire::Event& event) { handle(header.now, event); });
         return reply_.finish(header.number);
     }
 
 private:
+    // An exception that the event causes in its instance is reported in the reply; later events are still
+    // handled.
     void handle(Time now, const wire::Event& event) {
         auto& instance = instances_[event.instance];
         if (!instance) instance = std::make_unique<Instance>(event.instance, reply_);
@@ -70,6 +75,8 @@
         }
     }
 
+    // One overload for each kind of event. Events other than CreateEvent are dropped if the instance has no
+    // policy.
     static void deliver(Time now, Instance& to, const wire::CreateEvent& body) { to.start(body, now); }
     static void deliver(Time, Instance& to, const wire::ExitEvent&) { to.stop(); }
     static void deliver(Time now, Instance& to, const wire::PeerEvent& body) {
@@ -104,8 +111,9 @@
     std::map<std::uint32_t, std::unique_ptr<Instance>> instances_;
 };
 
-// False at the end of input before the first byte. Reads in pieces, so that a length that lies takes no
-// memory.
+// Reads `size` bytes from standard input. Returns false if `may_end` is set and the input ends before the
+// first byte; throws wire::WireError, with `where` at the end of the message, if it ends before the last.
+// Reads in pieces, so that a false size in a header allocates little more memory than the bytes that arrive.
 bool read_exactly(std::string& into, std::size_t size, const std::string& where, bool may_end = false) {
     constexpr std::size_t piece = 1U << 20;
     into.clear();
@@ -116,8 +124,8 @@
         const std::size_t got = std::fread(into.data() + had, 1, want, stdin);
         if (got == want) continue;
         if (had + got == 0 && may_end) return false;
-        throw wire::WireError("input cut off: " + std::to_string(had + got) + " of " + std::to_string(size) +
-                              " bytes" + where);
+        throw wire::WireError("input truncated: " + std::to_string(had + got) + " of " +
+                              std::to_string(size) + " bytes" + where);
     }
     return true;
 }
@@ -138,7 +146,7 @@
             const std::string reply = host.answer(header, body);
             if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() ||
                 std::fflush(stdout) != 0) {
-                throw wire::WireError("reply could not be written");
+                throw wire::WireError("could not write the reply");
             }
         }
     } catch (const std::exception& error) {
--- a/src/wire.cpp
+++ b/src/wire.cpp
@@ -11,19 +11,37 @@
 
 namespace flaxdoor::wire {
 
-static_assert(std::endian::native == std::endian::little, "the wire is little-endian");
+static_assert(std::endian::native == std::endian::little, "the protocol is little-endian");
 
 namespace {
 
+// Record codes, under the simulator's names; each comment names the event or the action of this library.
 namespace event_code {
-constexpr std::uint16_t probe_done = 256, registry = 257, create = 258, bell = 259, catalog = 260,
-                        under_way = 261, order = 262, closed_attempt = 263, datagram = 264, lapsed = 265,
-                        exit = 266;
+constexpr std::uint16_t probe_done = 256,  // ProbeResult
+    registry = 257,                        // ListEvent
+    create = 258,                          // CreateEvent
+    bell = 259,                            // TimerEvent
+    catalog = 260,                         // definition of a numbered list, to which registry records refer
+    under_way = 261,                       // ResponseStart
+    order = 262,                           // Request
+    closed_attempt = 263,                  // AttemptEnd
+    datagram = 264,                        // PeerEvent
+    lapsed = 265,                          // ClientGoneEvent
+    exit = 266;                            // ExitEvent
 }
 namespace action_code {
-constexpr std::uint16_t remark = 256, shed = 257, submit_to = 258, panic = 259, check = 260,
-                        broadcast_to = 261, abort_attempt = 262, surrender = 263, free_links = 264,
-                        set_alarm = 265, stream_changes = 266, list_all = 267;
+constexpr std::uint16_t remark = 256,  // Actions::log()
+    shed = 257,                        // Actions::refuse()
+    submit_to = 258,                   // Actions::submit()
+    panic = 259,                       // ReplyWriter::fault()
+    check = 260,                       // Actions::probe()
+    broadcast_to = 261,                // Actions::send_message()
+    abort_attempt = 262,               // Actions::cancel()
+    surrender = 263,                   // Actions::fail()
+    free_links = 264,                  // Actions::close_idle()
+    set_alarm = 265,                   // Actions::set_timer()
+    stream_changes = 266,              // Actions::watch() and unwatch()
+    list_all = 267;                    // Actions::fetch()
 }
 
 template <typename T>
@@ -42,10 +60,11 @@
     return " (batch " + std::to_string(batch) + ", record " + std::to_string(record) + ")";
 }
 
-constexpr std::uint32_t everyone = 0xffffffff;  // the receiver of a message to every other instance
+constexpr std::uint32_t everyone = 0xffffffff;  // receiver of a message to all other balancers
 
-constexpr double max_ms = 1e12;  // beyond it, microseconds in 64 bits would be in danger
+constexpr double max_ms = 1e12;  // larger values could overflow 64 bits in microseconds
 
+// Returns nothing if `ms` is NaN or its magnitude exceeds max_ms.
 std::optional<Micros> micros(double ms) {
     if (!(std::fabs(ms) <= max_ms)) return std::nullopt;
     return Micros(std::llround(ms * 1000.0));
@@ -53,7 +72,7 @@
 
 double millis(Micros span) { return static_cast<double>(span.count()) / 1000.0; }
 
-// An upstream's id is its six bytes: address first, port last.
+// Loads an upstream's id from six bytes: the IPv4 address, then the port.
 UpstreamId load_upstream(std::string_view bytes, std::size_t at) {
     UpstreamId id = 0;
     std::memcpy(&id, bytes.data() + at, 6);
@@ -79,12 +98,12 @@
 // ------------------------------------------------------------------------------------------------ frames
 
 BatchHeader decode_header(std::string_view bytes) {
-    if (bytes.size() != batch_header_size) throw WireError("batch header cut off");
+    if (bytes.size() != batch_header_size) throw WireError("batch header truncated");
     BatchHeader header;
     header.number = load<std::uint32_t>(bytes, 0);
     const std::string where = " (batch " + std::to_string(header.number) + ")";
     const auto now = micros(load<double>(bytes, 4));
-    if (!now) throw WireError("impossible clock" + where);
+    if (!now) throw WireError("clock out of range" + where);
     header.now = *now;
     header.body_size = load<std::uint32_t>(bytes, 12);
     header.records = load<std::uint32_t>(bytes, 16);
@@ -97,7 +116,7 @@
 
 void Decoder::begin(const BatchHeader& header, std::string_view body) {
     if (body.size() != header.body_size || std::uint64_t{header.records} * event_size > body.size()) {
-        throw WireError("frame cut off (batch " + std::to_string(header.number) + ")");
+        throw WireError("frame truncated (batch " + std::to_string(header.number) + ")");
     }
     body_ = body;
     number_ = header.number;
@@ -117,12 +136,12 @@
         };
         const auto span_at = [&](std::size_t at) {
             const auto span = micros(load<double>(record, at));
-            if (!span) throw WireError("impossible time" + where());
+            if (!span) throw WireError("time or duration out of range" + where());
             return *span;
         };
         const auto read_report = [&](std::size_t at, LoadReport& report) {
             const auto n = load<std::uint8_t>(record, at);
-            if (n > 4) throw WireError("load report too long" + where());
+            if (n > 4) throw WireError("load report has more than 4 values" + where());
             report.resize(n);
             for (std::size_t i = 0; i < n; ++i) report[i] = load<float>(record, at + 1 + 4 * i);
         };
@@ -146,7 +165,7 @@
             }
             case event_code::registry: {
                 const auto kind = load<std::uint8_t>(record, 6);
-                if (kind > 3) throw WireError("unknown kind of list" + where());
+                if (kind > 3) throw WireError("unknown list kind" + where());
                 constexpr ListKind kinds[] = {ListKind::delta, ListKind::full, ListKind::cached,
                                               ListKind::failed};
                 ListEvent list{kinds[kind], nullptr, load<std::uint64_t>(record, 7)};
@@ -229,13 +248,13 @@
         entry.kind = load<std::uint16_t>(bytes, 8);
         entry.cell = load<std::uint16_t>(bytes, 10);
         const auto state = load<std::uint8_t>(bytes, 12);
-        if (state > 2) throw WireError("unknown state of an upstream" + where());
+        if (state > 2) throw WireError("unknown upstream state" + where());
         constexpr UpstreamState states[] = {UpstreamState::removed, UpstreamState::ready,
                                             UpstreamState::draining};
         entry.state = states[state];
         entry.weight = load<float>(bytes, 13);
         const auto started_at = micros(load<double>(bytes, 17));
-        if (!started_at) throw WireError("impossible start time" + where());
+        if (!started_at) throw WireError("start time out of range" + where());
         entry.started_at = *started_at;
         list.push_back(entry);
     }
@@ -327,10 +346,13 @@
     return frame;
 }
 
-// ------------------------------------------------------------------------------------------------- facts
+// ------------------------------------------------------------------------------------------------- settings
 
 namespace {
 
+// The settings of one balancer as text: a value for each name. The views refer to the text of the
+// constructor. Accessors without a default throw std::invalid_argument if the setting is missing, all of them
+// if it can't be read.
 class Facts {
 public:
     explicit Facts(std::string_view text) {
@@ -391,7 +413,8 @@
     }
     bool flag(const std::string& name, bool otherwise) const { return find(name) ? flag(name) : otherwise; }
 
-    // A list of objects tells its length; an absent or empty one has none.
+    // Returns the length of a list of objects, which `NAME.count` holds; an absent or empty list has no such
+    // setting.
     int count(const std::string& name) const {
         if (!find(name + ".count")) return 0;
         const int n = whole(name + ".count");
@@ -474,7 +497,7 @@
     s.rank = facts.whole("rank");
     s.balancers = facts.whole("siblings");
     s.zone = facts.whole("zone", 0);
-    // A deployment without zones is one zone.
+    // A deployment without zones counts as one zone.
     s.zones = std::max(1, static_cast<int>(Facts::split(facts.find("zones").value_or("")).size()));
     s.tier = facts.whole("tier", 0);
     s.tick = facts.span("tick");
@@ -485,7 +508,7 @@
         ClassSettings c;
         c.name = std::string(facts.find(at + "name").value_or(""));
         c.deadline = facts.span(at + "hard_limit");
-        c.latency_target = std::min(facts.span(at + "aim"), c.deadline);  // what comes later finds no client
+        c.latency_target = std::min(facts.span(at + "aim"), c.deadline);  // no client waits longer
         c.worth = facts.number(at + "worth", 1);
         c.late_worth = facts.number(at + "late_worth", 0);
         c.effect = effect_of(facts, at + "effect");
--- a/src/wire.h
+++ b/src/wire.h
@@ -1,4 +1,11 @@
-// The wire: frames in, frames out, and the facts of a start turned into Settings. No decision is made here.
+// The codec of the simulator's binary protocol: decodes batches of events, encodes replies of actions, and
+// parses the settings text of a create event. It makes no load-balancing decisions.
+//
+// All numbers are little-endian; times and durations are doubles in milliseconds.
+//   batch  header, event records of fixed size, then a tail that holds texts and list entries
+//   reply  header, action records of fixed size, then a tail that holds texts
+// Every record begins with its code (16 bits) and the number of its instance (32 bits; in a list definition,
+// the number of the list instead). Offsets into a tail count from the start of the tail.
 #pragma once
 
 #include <array>
@@ -14,14 +21,15 @@
 
 namespace flaxdoor::wire {
 
+// Sizes in bytes.
 inline constexpr std::size_t batch_header_size = 20;
 inline constexpr std::size_t reply_header_size = 12;
 inline constexpr std::size_t event_size = 48;
 inline constexpr std::size_t action_size = 24;
-inline constexpr std::size_t entry_size = 25;
-inline constexpr std::uint32_t max_body = 1U << 30;
+inline constexpr std::size_t entry_size = 25;        // of a list entry in the tail
+inline constexpr std::uint32_t max_body = 1U << 30;  // of a batch without its header
 
-// Input that breaks the wire's rules; what() says what and where.
+// Input that violates the protocol; what() names the violation and the batch and record that hold it.
 class WireError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
@@ -30,17 +38,18 @@
 struct BatchHeader {
     std::uint32_t number = 0;
     Time now{};
-    std::uint32_t body_size = 0;
-    std::uint32_t records = 0;
+    std::uint32_t body_size = 0;  // bytes of all records and the tail
+    std::uint32_t records = 0;    // number of event records
 };
 
+// Creates an instance, in place of an earlier one under the same number.
 struct CreateEvent {
     std::uint64_t seed = 0;
-    std::string_view facts;
+    std::string_view facts;  // the settings, see parse_facts()
 };
 struct ListEvent {
     ListKind kind = ListKind::failed;
-    const std::vector<UpstreamEntry>* entries = nullptr;  // null for a failed call
+    const std::vector<UpstreamEntry>* entries = nullptr;  // owned by the Decoder; null for a failed call
     std::uint64_t version = 0;
 };
 struct TimerEvent {
@@ -49,12 +58,15 @@
 struct ClientGoneEvent {
     RequestId request = 0;
 };
+// Destroys the instance's policy.
 struct ExitEvent {};
+// A message from another balancer.
 struct PeerEvent {
-    int from = 0;
+    int from = 0;  // rank of the sender
     std::string_view payload;
 };
 
+// One decoded event. Its views and pointers are valid only while the visitor of Decoder::decode() runs.
 struct Event {
     std::uint32_t instance = 0;
     std::variant<CreateEvent, ListEvent, Request, AttemptEnd, ProbeResult, TimerEvent, ResponseStart,
@@ -62,11 +74,15 @@
         body;
 };
 
+// Throws WireError if `bytes` isn't a valid header of exactly batch_header_size bytes.
 BatchHeader decode_header(std::string_view bytes);
 
-// Walks the records of one batch in order. Lists live on between batches, as the wire numbers them.
+// Decodes the event records of batches. A list that one batch defines keeps its number and its entries in
+// later batches, until it is defined again.
 class Decoder {
 public:
+    // Calls `visit` with each event in order. Throws WireError on a malformed batch, possibly after some
+    // events have been visited.
     template <typename Visitor>
     void decode(const BatchHeader& header, std::string_view body, Visitor&& visit) {
         begin(header, body);
@@ -88,7 +104,7 @@
     std::array<bool, 16> listed_{};
 };
 
-// Collects the actions of one reply.
+// Collects the actions of one reply. `instance` is the number of the instance that the action belongs to.
 class ReplyWriter {
 public:
     void submit(std::uint32_t instance, RequestId request, UpstreamId upstream, Micros timeout);
@@ -100,14 +116,19 @@
     void watch(std::uint32_t instance, bool on);
     void fetch(std::uint32_t instance);
     void close_idle(std::uint32_t instance, UpstreamId upstream);
+    // Sends a message to the balancer of rank `peer`, or to all others.
     void tell(std::uint32_t instance, std::optional<int> peer, std::string_view payload);
     void log(std::uint32_t instance, std::string_view line);
+    // Reports that an event made the instance throw an exception.
     void fault(std::uint32_t instance, std::string_view text);
 
-    std::string finish(std::uint32_t number);  // the whole frame; the writer is empty afterwards
+    // Returns the whole frame of the reply to batch `number` and empties the writer.
+    std::string finish(std::uint32_t number);
 
 private:
+    // Appends a zeroed record and returns a pointer to it, which is valid until the next call.
     char* record(std::uint16_t code, std::uint32_t instance);
+    // Appends `text` to the tail and stores its offset and size at byte `at` of the record.
     void text(char* record, std::size_t at, std::string_view text);
 
     std::string records_;
@@ -115,7 +136,8 @@
     std::uint32_t count_ = 0;
 };
 
-// Throws std::invalid_argument naming the setting that is missing or can't be read. Unknown ones are skipped.
+// Parses lines of the form `path.name=value`. Unknown settings are skipped. Throws std::invalid_argument,
+// naming the setting, if one is missing or can't be read.
 Settings parse_facts(std::string_view facts);
 
 }  // namespace flaxdoor::wire
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,5 @@
-// The codec: exact bytes both ways, frames that are cut off or corrupt, and the facts of a start.
+// Tests of the simulator protocol's codec: exact bytes in both directions, truncated and corrupt frames, and
+// the parsing of settings.
 #include "wire.h"
 
 #include <gtest/gtest.h>
@@ -56,8 +57,8 @@
     put(r, std::uint32_t{1});     // tenant
     put(r, std::uint64_t{4711});  // key
     put(r, 612.5);                // deadline
-    put(r, 12.25);                // hint
-    put(r, std::uint8_t{5});      // hint valid, a write
+    put(r, 12.25);                // cost hint
+    put(r, std::uint8_t{5});      // flags: has a cost hint, is a write
     return padded(r);
 }
 
@@ -190,7 +191,7 @@
     expected += padded(bytes({0, 1, 3, 0, 0, 0, 0, 0, 0, 0, 2, 0, 0, 0}), action_size);
     expected += "hi";
     EXPECT_EQ(frame, expected);
-    EXPECT_EQ(reply.finish(8).size(), reply_header_size);  // empty afterwards
+    EXPECT_EQ(reply.finish(8).size(), reply_header_size);  // finish() has emptied the writer
 }
 
 TEST(Frames, EveryActionHasItsCode) {
@@ -222,11 +223,11 @@
         std::memcpy(&value, frame.data() + reply_header_size + action * action_size + byte, 4);
         return value;
     };
-    EXPECT_EQ(word(5, 6), 1u);           // subscribes
-    EXPECT_EQ(word(11, 6), 0u);          // ends it
-    EXPECT_EQ(word(9, 6), 0xffffffffu);  // a message to all others
-    EXPECT_EQ(word(10, 6), 6u);          // to one
-    EXPECT_EQ(word(10, 10), 2u);         // its text is the third of the tail
+    EXPECT_EQ(word(5, 6), 1u);           // watch()
+    EXPECT_EQ(word(11, 6), 0u);          // unwatch()
+    EXPECT_EQ(word(9, 6), 0xffffffffu);  // message to all other balancers
+    EXPECT_EQ(word(10, 6), 6u);          // message to one balancer
+    EXPECT_EQ(word(10, 10), 2u);         // offset of its text in the tail
     EXPECT_EQ(frame.substr(frame.size() - 3), "xyz");
 }
 
@@ -240,7 +241,7 @@
         return "";
     };
     Decoder decoder;
-    EXPECT_NE(error_of([] { decode_header("short"); }).find("cut off"), std::string::npos);
+    EXPECT_NE(error_of([] { decode_header("short"); }).find("header truncated"), std::string::npos);
     EXPECT_NE(error_of([] { decode_header(header(5, 1, 0xffffffffU, 0)); }).find("too long (batch 5)"),
               std::string::npos);
     EXPECT_NE(error_of([] { decode_header(header(5, 1, 47, 1)); }).find("more records"), std::string::npos);
@@ -268,11 +269,12 @@
               std::string::npos);
     EXPECT_NE(error_of([&] {
                   decoder.decode({1, Micros{0}, 96, 2}, std::string(50, 'x'), [](const Event&) {});
-              }).find("cut off"),
+              }).find("frame truncated"),
               std::string::npos);
 }
 
-// Frames changed at random places are either decoded or refused with a WireError; nothing else happens.
+// Randomly corrupted frames are either decoded or rejected with a WireError, without a crash or another
+// exception.
 TEST(BadFrames, Mutations) {
     const std::string good = order_record() + list_frame(1, 1);
     std::uint64_t state = 1;
@@ -325,7 +327,7 @@
     EXPECT_DOUBLE_EQ(s.tenants[0].quota_per_s, 12.5);
 }
 
-// Every setting that the wire page lists reaches the interface.
+// Every setting of the protocol reaches its field of Settings; the ones without a field are skipped.
 TEST(Facts, EverySettingIsPassedOn) {
     const Settings s = parse_facts(
         facts() +
