--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -95,7 +95,7 @@
     const json& settings = config.at("settings");
     Config c;
     c.name = config.value("name", "");
-    c.settings = wire::parse_facts(flatten(settings));
+    c.settings = wire::parse_settings(flatten(settings));
     restore_names(c.settings.classes, settings, "services");
     restore_names(c.settings.tenants, settings, "tenants");
     c.seed = parse_seed(config.at("seed"));
--- a/src/wire.h
+++ b/src/wire.h
@@ -1,5 +1,6 @@
-// The codec of the simulator's binary protocol: decodes batches of events, encodes replies of actions, and
-// parses the settings text of a create event. It makes no load-balancing decisions.
+// The codec of the simulator's binary protocol, which decodes batches of events and encodes replies of
+// actions, and the parser of the settings text, which the balancer's configuration uses too. No
+// load-balancing decisions are made here.
 //
 // All numbers are little-endian; times and durations are doubles in milliseconds.
 //   batch  header, event records of fixed size, then a tail that holds texts and list entries
@@ -26,10 +27,11 @@
 inline constexpr std::size_t reply_header_size = 12;
 inline constexpr std::size_t event_size = 48;
 inline constexpr std::size_t action_size = 24;
-inline constexpr std::size_t entry_size = 25;        // of a list entry in the tail
-inline constexpr std::uint32_t max_body = 1U << 30;  // of a batch without its header
+inline constexpr std::size_t list_entry_size = 25;        // in the tail of a batch
+inline constexpr std::uint32_t max_body_size = 1U << 30;  // of a batch without its header
 
-// Input that violates the protocol; what() names the violation and the batch and record that hold it.
+// Input that violates the protocol, or a failure to transfer a frame. what() names the fault and, as far as
+// known, the batch and the record.
 class WireError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
@@ -39,13 +41,13 @@
     std::uint32_t number = 0;
     Time now{};
     std::uint32_t body_size = 0;  // bytes of all records and the tail
-    std::uint32_t records = 0;    // number of event records
+    std::uint32_t record_count = 0;
 };
 
 // Creates an instance, in place of an earlier one under the same number.
 struct CreateEvent {
     std::uint64_t seed = 0;
-    std::string_view facts;  // the settings, see parse_facts()
+    std::string_view settings_text;  // see parse_settings()
 };
 struct ListEvent {
     ListKind kind = ListKind::failed;
@@ -61,8 +63,8 @@
 // Destroys the instance's policy.
 struct ExitEvent {};
 // A message from another balancer.
-struct PeerEvent {
-    int from = 0;  // rank of the sender
+struct MessageEvent {
+    int sender_rank = 0;
     std::string_view payload;
 };
 
@@ -70,7 +72,7 @@
 struct Event {
     std::uint32_t instance = 0;
     std::variant<CreateEvent, ListEvent, Request, AttemptEnd, ProbeResult, TimerEvent, ResponseStart,
-                 ClientGoneEvent, ExitEvent, PeerEvent>
+                 ClientGoneEvent, ExitEvent, MessageEvent>
         body;
 };
 
@@ -85,26 +87,27 @@
     // events have been visited.
     template <typename Visitor>
     void decode(const BatchHeader& header, std::string_view body, Visitor&& visit) {
-        begin(header, body);
+        begin_batch(header, body);
         Event event;
-        while (next(event)) visit(event);
+        while (next_event(event)) visit(event);
     }
 
 private:
-    void begin(const BatchHeader& header, std::string_view body);
-    bool next(Event& event);
-    void read_list(std::string_view record);
+    void begin_batch(const BatchHeader& header, std::string_view body);
+    bool next_event(Event& event);
+    void read_list_definition(std::string_view record);
 
     std::string_view body_;
     std::string_view tail_;
-    std::uint32_t number_ = 0;
-    std::uint32_t records_ = 0;
-    std::uint32_t record_ = 0;
+    std::uint32_t batch_number_ = 0;
+    std::uint32_t record_count_ = 0;
+    std::uint32_t record_index_ = 0;
     std::array<std::vector<UpstreamEntry>, 16> lists_;
-    std::array<bool, 16> listed_{};
+    std::array<bool, 16> list_defined_{};
 };
 
-// Collects the actions of one reply. `instance` is the number of the instance that the action belongs to.
+// Collects the actions of one reply. `instance` is the number of the instance that the action belongs to. A
+// request's id is written with 32 bits, as it was read.
 class ReplyWriter {
 public:
     void submit(std::uint32_t instance, RequestId request, UpstreamId upstream, Micros timeout);
@@ -113,31 +116,32 @@
     void cancel(std::uint32_t instance, RequestId request, int attempt);
     void probe(std::uint32_t instance, UpstreamId upstream);
     void set_timer(std::uint32_t instance, Time at, std::uint64_t token);
+    // Starts the subscription to the list, or ends it if `on` is false.
     void watch(std::uint32_t instance, bool on);
     void fetch(std::uint32_t instance);
     void close_idle(std::uint32_t instance, UpstreamId upstream);
     // Sends a message to the balancer of rank `peer`, or to all others.
-    void tell(std::uint32_t instance, std::optional<int> peer, std::string_view payload);
+    void send_message(std::uint32_t instance, std::optional<int> peer, std::string_view payload);
     void log(std::uint32_t instance, std::string_view line);
     // Reports that an event made the instance throw an exception.
-    void fault(std::uint32_t instance, std::string_view text);
+    void report_error(std::uint32_t instance, std::string_view text);
 
-    // Returns the whole frame of the reply to batch `number` and empties the writer.
-    std::string finish(std::uint32_t number);
+    // Returns the whole reply to the batch of that number and empties the writer.
+    std::string finish(std::uint32_t batch_number);
 
 private:
     // Appends a zeroed record and returns a pointer to it, which is valid until the next call.
-    char* record(std::uint16_t code, std::uint32_t instance);
-    // Appends `text` to the tail and stores its offset and size at byte `at` of the record.
-    void text(char* record, std::size_t at, std::string_view text);
+    char* append_record(std::uint16_t code, std::uint32_t instance);
+    // Appends `text` to the tail and stores its offset and size at byte `offset` of the record.
+    void append_text(char* record, std::size_t offset, std::string_view text);
 
     std::string records_;
     std::string tail_;
-    std::uint32_t count_ = 0;
+    std::uint32_t action_count_ = 0;
 };
 
 // Parses lines of the form `path.name=value`. Unknown settings are skipped. Throws std::invalid_argument,
 // naming the setting, if one is missing or can't be read.
-Settings parse_facts(std::string_view facts);
+Settings parse_settings(std::string_view text);
 
 }  // namespace flaxdoor::wire
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -87,7 +87,7 @@
     const auto h = decode_header(header(12, 16604.5, 96, 2));
     EXPECT_EQ(h.number, 12u);
     EXPECT_EQ(h.now, Micros(16604500));
-    EXPECT_EQ(h.records, 2u);
+    EXPECT_EQ(h.record_count, 2u);
 }
 
 TEST(Frames, RequestAndTimer) {
@@ -109,7 +109,7 @@
     EXPECT_EQ(std::get<TimerEvent>(events[1].body).token, 0x4du);
 }
 
-TEST(Frames, ACostHintCountsOnlyWhereItIsMarked) {
+TEST(Frames, CostHintNeedsItsFlag) {
     std::string r = order_record();
     r[40] = 2;
     Decoder decoder;
@@ -119,21 +119,21 @@
     EXPECT_FALSE(request.write);
 }
 
-TEST(Frames, MessagesAndStarts) {
-    std::string message = record(264, 3);
-    put(message, std::uint32_t{2});
-    put(message, std::uint32_t{1});
-    put(message, std::uint32_t{3});
+TEST(Frames, MessageAndResponseStart) {
+    std::string datagram = record(264, 3);
+    put(datagram, std::uint32_t{2});
+    put(datagram, std::uint32_t{1});
+    put(datagram, std::uint32_t{3});
     std::string start = record(261, 3);
     put(start, std::uint32_t{77});
     start += bytes({1, 10, 0, 0, 7, 1, 0});
     put(start, 9.25);
     Decoder decoder;
-    const std::string body = padded(message) + padded(start) + "xhi!";
+    const std::string body = padded(datagram) + padded(start) + "xhi!";
     const auto events = decode(decoder, body, 2);
-    const auto& peer = std::get<PeerEvent>(events.at(0).body);
-    EXPECT_EQ(peer.from, 2);
-    EXPECT_EQ(peer.payload, "hi!");
+    const auto& message = std::get<MessageEvent>(events.at(0).body);
+    EXPECT_EQ(message.sender_rank, 2);
+    EXPECT_EQ(message.payload, "hi!");
     const auto& started = std::get<ResponseStart>(events.at(1).body);
     EXPECT_EQ(started.request, 77u);
     EXPECT_EQ(started.attempt, 1);
@@ -141,7 +141,7 @@
     EXPECT_EQ(started.latency, Micros(9250));
 }
 
-TEST(Frames, OutcomeWithItsReport) {
+TEST(Frames, OutcomeWithLoadReport) {
     std::string r = record(263, 1);
     put(r, std::uint32_t{5});
     r += bytes({2, 254, 1});
@@ -160,7 +160,7 @@
     EXPECT_EQ(end.report, (LoadReport{7.0F, 0.5F}));
 }
 
-TEST(Frames, Lists) {
+TEST(Frames, ListDefinition) {
     Decoder decoder;
     const auto events = decode(decoder, list_frame(1, 1), 2);
     ASSERT_EQ(events.size(), 1u);
@@ -194,7 +194,7 @@
     EXPECT_EQ(reply.finish(8).size(), reply_header_size);  // finish() has emptied the writer
 }
 
-TEST(Frames, EveryActionHasItsCode) {
+TEST(Frames, ActionCodes) {
     ReplyWriter reply;
     reply.refuse(1, 2, Micros(1500));
     reply.fail(1, 2);
@@ -204,9 +204,9 @@
     reply.watch(1, true);
     reply.fetch(1);
     reply.close_idle(1, 4);
-    reply.fault(1, "x");
-    reply.tell(1, std::nullopt, "y");
-    reply.tell(1, 6, "z");
+    reply.report_error(1, "x");
+    reply.send_message(1, std::nullopt, "y");
+    reply.send_message(1, 6, "z");
     reply.watch(1, false);
     const std::string frame = reply.finish(1);
     const std::uint16_t codes[] = {257, 263, 262, 260, 265, 266, 267, 264, 259, 261, 261, 266};
@@ -231,7 +231,7 @@
     EXPECT_EQ(frame.substr(frame.size() - 3), "xyz");
 }
 
-TEST(BadFrames, SayWhatAndWhere) {
+TEST(MalformedFrames, ErrorsNameViolationAndLocation) {
     const auto error_of = [](auto&& act) -> std::string {
         try {
             act();
@@ -275,13 +275,13 @@
 
 // Randomly corrupted frames are either decoded or rejected with a WireError, without a crash or another
 // exception.
-TEST(BadFrames, Mutations) {
+TEST(MalformedFrames, RandomMutations) {
     const std::string good = order_record() + list_frame(1, 1);
     std::uint64_t state = 1;
     const auto next = [&] {
         return state = state * 6364136223846793005ULL + 1442695040888963407ULL, state >> 33;
     };
-    int refused = 0, accepted = 0;
+    int rejected = 0, accepted = 0;
     for (int round = 0; round < 20000; ++round) {
         std::string body = good;
         const auto changes = 1 + next() % 4;
@@ -292,14 +292,14 @@
             decode(decoder, body, 3);
             ++accepted;
         } catch (const WireError&) {
-            ++refused;
+            ++rejected;
         }
     }
-    EXPECT_GT(refused, 1000);
+    EXPECT_GT(rejected, 1000);
     EXPECT_GT(accepted, 1000);
 }
 
-std::string facts() {
+std::string settings_text() {
     return "rank=1\nsiblings=3\nzone=1\nzones=a,b\ntick=2.0\nservices.count=2\nservices.0.aim=150.0\n"
            "services.0.hard_limit=600.0\nservices.0.effect=idempotent\nservices.1.aim=75.0\n"
            "services.1.hard_limit=150.0\nservices.1.effect=deduplicated\nservices.1.group=cell\n"
@@ -309,8 +309,8 @@
            "tenants.count=1\ntenants.0.quota_rps=12.5\nsomething.new=7\n";
 }
 
-TEST(Facts, BecomeSettings) {
-    const Settings s = parse_facts(facts());
+TEST(ParseSettings, KnownFields) {
+    const Settings s = parse_settings(settings_text());
     EXPECT_EQ(s.rank, 1);
     EXPECT_EQ(s.zones, 2);
     EXPECT_EQ(s.tick, Micros(2000));
@@ -328,9 +328,9 @@
 }
 
 // Every setting of the protocol reaches its field of Settings; the ones without a field are skipped.
-TEST(Facts, EverySettingIsPassedOn) {
-    const Settings s = parse_facts(
-        facts() +
+TEST(ParseSettings, EverySettingReachesItsField) {
+    const Settings s = parse_settings(
+        settings_text() +
         "callers.marks_retry=true\ndeductions.connection=1\ndeductions.cross_zone=2\n"
         "deductions.registry_mode=3\ndeductions.fleet=4\ndeductions.handshake=5\ndeductions.late_fail=6\n"
         "deductions.moves=7\ndeductions.origin=8\ndeductions.peer=9\ndeductions.probe=10\n"
@@ -348,13 +348,13 @@
         "weights=live\nworth_by=work\nzone=1\n");
     EXPECT_TRUE(s.clients_mark_retries && s.may_cancel && s.may_message_peers && s.may_advise_retry_after);
     EXPECT_TRUE(s.upstreams_propagate_deadline && s.worth_by_work && s.classes[0].streams);
-    const Deductions& p = s.deductions;
-    EXPECT_EQ((std::vector{p.connection, p.cross_zone, p.discovery, p.fleet, p.handshake, p.late_failure,
-                           p.moves, p.origin, p.peer, p.probe, p.waste}),
+    const Deductions& d = s.deductions;
+    EXPECT_EQ((std::vector{d.connection, d.cross_zone, d.discovery, d.fleet, d.handshake, d.late_failure,
+                           d.moves, d.origin, d.peer, d.probe, d.waste}),
               (std::vector<double>{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}));
-    const ObjectiveWeights& g = s.objective;
+    const ObjectiveWeights& o = s.objective;
     EXPECT_EQ(
-        (std::vector{g.overall, g.worst_window, g.worst_class, g.worst_tenant, g.nines, g.full_score_nines}),
+        (std::vector{o.overall, o.worst_window, o.worst_class, o.worst_tenant, o.nines, o.full_score_nines}),
         (std::vector<double>{0.1, 0.2, 0.3, 0.4, 0.5, 3}));
     EXPECT_EQ((std::vector{s.response_slack, s.drain_close, s.drain_grace, s.fall_span, s.ramp_time,
                            s.connect_timeout, s.connection_idle_timeout, s.max_retry_after, s.cpu_per_s}),
@@ -370,8 +370,8 @@
     EXPECT_EQ(s.weight_meaning, WeightMeaning::live);
 }
 
-TEST(Facts, AbsentSettingsAreSafe) {
-    const Settings s = parse_facts(facts());
+TEST(ParseSettings, AbsentSettingsHaveSafeDefaults) {
+    const Settings s = parse_settings(settings_text());
     EXPECT_FALSE(s.may_cancel || s.may_message_peers || s.may_advise_retry_after);
     EXPECT_EQ(s.drain_close, Micros{0});
     EXPECT_EQ(s.cold_share, 1);
@@ -379,26 +379,28 @@
     EXPECT_FALSE(s.worth_by_work);
 }
 
-TEST(Facts, MissingOrUnreadableOnesAreNamed) {
-    const auto error_without = [](const std::string& from, const std::string& to) -> std::string {
-        std::string text = facts();
+TEST(ParseSettings, ErrorsNameTheSetting) {
+    const auto error_after_replacing = [](const std::string& from, const std::string& to) -> std::string {
+        std::string text = settings_text();
         const auto at = text.find(from);
         text.replace(at, from.size(), to);
         try {
-            parse_facts(text);
+            parse_settings(text);
         } catch (const std::invalid_argument& error) {
             return error.what();
         }
         return "";
     };
-    EXPECT_EQ(error_without("tick=2.0", "x=1"), "setting missing: tick");
-    EXPECT_EQ(error_without("tick=2.0", "tick=two"), "setting unreadable: tick");
-    EXPECT_EQ(error_without("tick=2.0", "tick=nan"), "setting unreadable: tick");
-    EXPECT_EQ(error_without("rank=1", "rank=1.5"), "setting unreadable: rank");
-    EXPECT_EQ(error_without("idempotent", "perhaps"), "setting unreadable: services.0.effect");
-    EXPECT_EQ(error_without("group=cell", "group=x"), "setting unreadable: services.1.group");
-    EXPECT_EQ(error_without("may_probe=true", "may_probe=yes"), "setting unreadable: limits.may_probe");
-    EXPECT_EQ(error_without("registry_mode=ask", "registry_mode=x"), "setting unreadable: registry_mode");
+    EXPECT_EQ(error_after_replacing("tick=2.0", "x=1"), "setting missing: tick");
+    EXPECT_EQ(error_after_replacing("tick=2.0", "tick=two"), "setting unreadable: tick");
+    EXPECT_EQ(error_after_replacing("tick=2.0", "tick=nan"), "setting unreadable: tick");
+    EXPECT_EQ(error_after_replacing("rank=1", "rank=1.5"), "setting unreadable: rank");
+    EXPECT_EQ(error_after_replacing("idempotent", "perhaps"), "setting unreadable: services.0.effect");
+    EXPECT_EQ(error_after_replacing("group=cell", "group=x"), "setting unreadable: services.1.group");
+    EXPECT_EQ(error_after_replacing("may_probe=true", "may_probe=yes"),
+              "setting unreadable: limits.may_probe");
+    EXPECT_EQ(error_after_replacing("registry_mode=ask", "registry_mode=x"),
+              "setting unreadable: registry_mode");
 }
 
 }  // namespace
