--- a/src/wire.h
+++ b/src/wire.h
@@ -1,4 +1,12 @@
-// The wire: frames in, frames out, and the facts of a start turned into Settings. No decision is made here.
+// The codec of the simulator's binary protocol, which decodes batches of events and encodes replies of
+// actions, and the parser of the settings text, which the balancer's configuration uses too. No
+// load-balancing decisions are made here.
+//
+// All numbers are little-endian; times and durations are doubles in milliseconds.
+//   batch  header, event records of fixed size, then a tail that holds texts and list entries
+//   reply  header, action records of fixed size, then a tail that holds texts
+// Every record begins with its code (16 bits) and the number of its instance (32 bits; in a list definition,
+// the number of the list instead). Offsets into a tail count from the start of the tail.
 #pragma once
 
 #include <array>
@@ -14,14 +22,16 @@
 
 namespace flaxdoor::wire {
 
+// Sizes in bytes.
 inline constexpr std::size_t batch_header_size = 20;
 inline constexpr std::size_t reply_header_size = 12;
 inline constexpr std::size_t event_size = 48;
 inline constexpr std::size_t action_size = 24;
-inline constexpr std::size_t entry_size = 25;
-inline constexpr std::uint32_t max_body = 1U << 30;
+inline constexpr std::size_t list_entry_size = 25;        // in the tail of a batch
+inline constexpr std::uint32_t max_body_size = 1U << 30;  // of a batch without its header
 
-// Input that breaks the wire's rules; what() says what and where.
+// Input that violates the protocol, or a failure to transfer a frame. what() names the fault and, as far as
+// known, the batch and the record.
 class WireError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
@@ -30,17 +40,18 @@
 struct BatchHeader {
     std::uint32_t number = 0;
     Time now{};
-    std::uint32_t body_size = 0;
-    std::uint32_t records = 0;
+    std::uint32_t body_size = 0;  // bytes of all records and the tail
+    std::uint32_t record_count = 0;
 };
 
+// Creates an instance, in place of an earlier one under the same number.
 struct CreateEvent {
     std::uint64_t seed = 0;
-    std::string_view facts;
+    std::string_view settings_text;  // see parse_settings()
 };
 struct ListEvent {
     ListKind kind = ListKind::failed;
-    const std::vector<UpstreamEntry>* entries = nullptr;  // null for a failed call
+    const std::vector<UpstreamEntry>* entries = nullptr;  // owned by the Decoder; null for a failed call
     std::uint64_t version = 0;
 };
 struct TimerEvent {
@@ -49,46 +60,54 @@
 struct ClientGoneEvent {
     RequestId request = 0;
 };
+// Destroys the instance's policy.
 struct ExitEvent {};
-struct PeerEvent {
-    int from = 0;
+// A message from another balancer.
+struct MessageEvent {
+    int sender_rank = 0;
     std::string_view payload;
 };
 
+// One decoded event. Its views and pointers are valid only while the visitor of Decoder::decode() runs.
 struct Event {
     std::uint32_t instance = 0;
     std::variant<CreateEvent, ListEvent, Request, AttemptEnd, ProbeResult, TimerEvent, ResponseStart,
-                 ClientGoneEvent, ExitEvent, PeerEvent>
+                 ClientGoneEvent, ExitEvent, MessageEvent>
         body;
 };
 
+// Throws WireError if `bytes` isn't a valid header of exactly batch_header_size bytes.
 BatchHeader decode_header(std::string_view bytes);
 
-// Walks the records of one batch in order. Lists live on between batches, as the wire numbers them.
+// Decodes the event records of batches. A list that one batch defines keeps its number and its entries in
+// later batches, until it is defined again.
 class Decoder {
 public:
+    // Calls `visit` with each event in order. Throws WireError on a malformed batch, possibly after some
+    // events have been visited.
     template <typename Visitor>
     void decode(const BatchHeader& header, std::string_view body, Visitor&& visit) {
-        begin(header, body);
+        begin_batch(header, body);
         Event event;
-        while (next(event)) visit(event);
+        while (next_event(event)) visit(event);
     }
 
 private:
-    void begin(const BatchHeader& header, std::string_view body);
-    bool next(Event& event);
-    void read_list(std::string_view record);
+    void begin_batch(const BatchHeader& header, std::string_view body);
+    bool next_event(Event& event);
+    void read_list_definition(std::string_view record);
 
     std::string_view body_;
     std::string_view tail_;
-    std::uint32_t number_ = 0;
-    std::uint32_t records_ = 0;
-    std::uint32_t record_ = 0;
+    std::uint32_t batch_number_ = 0;
+    std::uint32_t record_count_ = 0;
+    std::uint32_t record_index_ = 0;
     std::array<std::vector<UpstreamEntry>, 16> lists_;
-    std::array<bool, 16> listed_{};
+    std::array<bool, 16> list_defined_{};
 };
 
-// Collects the actions of one reply.
+// Collects the actions of one reply. `instance` is the number of the instance that the action belongs to. A
+// request's id is written with 32 bits, as it was read.
 class ReplyWriter {
 public:
     void submit(std::uint32_t instance, RequestId request, UpstreamId upstream, Micros timeout);
@@ -97,25 +116,32 @@
     void cancel(std::uint32_t instance, RequestId request, int attempt);
     void probe(std::uint32_t instance, UpstreamId upstream);
     void set_timer(std::uint32_t instance, Time at, std::uint64_t token);
+    // Starts the subscription to the list, or ends it if `on` is false.
     void watch(std::uint32_t instance, bool on);
     void fetch(std::uint32_t instance);
     void close_idle(std::uint32_t instance, UpstreamId upstream);
-    void tell(std::uint32_t instance, std::optional<int> peer, std::string_view payload);
+    // Sends a message to the balancer of rank `peer`, or to all others.
+    void send_message(std::uint32_t instance, std::optional<int> peer, std::string_view payload);
     void log(std::uint32_t instance, std::string_view line);
-    void fault(std::uint32_t instance, std::string_view text);
+    // Reports that an event made the instance throw an exception.
+    void report_error(std::uint32_t instance, std::string_view text);
 
-    std::string finish(std::uint32_t number);  // the whole frame; the writer is empty afterwards
+    // Returns the whole reply to the batch of that number and empties the writer.
+    std::string finish(std::uint32_t batch_number);
 
 private:
-    char* record(std::uint16_t code, std::uint32_t instance);
-    void text(char* record, std::size_t at, std::string_view text);
+    // Appends a zeroed record and returns a pointer to it, which is valid until the next call.
+    char* append_record(std::uint16_t code, std::uint32_t instance);
+    // Appends `text` to the tail and stores its offset and size at byte `offset` of the record.
+    void append_text(char* record, std::size_t offset, std::string_view text);
 
     std::string records_;
     std::string tail_;
-    std::uint32_t count_ = 0;
+    std::uint32_t action_count_ = 0;
 };
 
-// Throws std::invalid_argument naming the setting that is missing or can't be read. Unknown ones are skipped.
-Settings parse_facts(std::string_view facts);
+// Parses lines of the form `path.name=value`. Unknown settings are skipped. Throws std::invalid_argument,
+// naming the setting, if one is missing or can't be read.
+Settings parse_settings(std::string_view text);
 
 }  // namespace flaxdoor::wire
