--- a/src/main.cpp
+++ b/src/main.cpp
@@ -15,7 +15,7 @@
 
 using namespace flaxdoor::net;
 
-Config configuration() {
+Config load_configuration() {
     const char* const path = std::getenv("NODE_CONFIG");
     if (!path) throw std::runtime_error("NODE_CONFIG is not set");
     try {
@@ -27,15 +27,15 @@
 
 // Reloads the configuration on SIGHUP. One that is unreadable or invalid is logged and the current one stays
 // in force, so that the balancer keeps serving.
-void heed_changes(boost::asio::signal_set& changes, Host& host) {
-    changes.async_wait([&](const boost::system::error_code& error, int) {
+void reload_on_sighup(boost::asio::signal_set& reload_signals, Host& host) {
+    reload_signals.async_wait([&](const boost::system::error_code& error, int) {
         if (error) return;
         try {
-            host.reconfigure(configuration());
-        } catch (const std::exception& unreadable) {
-            log(std::string("flaxdoor: ") + unreadable.what());
+            host.reconfigure(load_configuration());
+        } catch (const std::exception& invalid) {
+            log(std::string("flaxdoor: ") + invalid.what());
         }
-        heed_changes(changes, host);
+        reload_on_sighup(reload_signals, host);
     });
 }
 
@@ -46,13 +46,13 @@
     try {
         boost::asio::io_context loop(1);
         // Registered before the host exists, so that signals during its start are handled once the loop runs.
-        boost::asio::signal_set signals(loop, SIGTERM, SIGINT);
-        boost::asio::signal_set changes(loop, SIGHUP);
-        Host host(loop, configuration());
-        signals.async_wait([&](const boost::system::error_code& error, int) {
+        boost::asio::signal_set stop_signals(loop, SIGTERM, SIGINT);
+        boost::asio::signal_set reload_signals(loop, SIGHUP);
+        Host host(loop, load_configuration());
+        stop_signals.async_wait([&](const boost::system::error_code& error, int) {
             if (!error) host.drain();
         });
-        heed_changes(changes, host);
+        reload_on_sighup(reload_signals, host);
         loop.run();
     } catch (const std::exception& error) {
         log(std::string("flaxdoor: ") + error.what());
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -24,12 +24,11 @@
 // failed for lack of descriptors.
 constexpr auto accept_retry_delay = milliseconds(20);
 // The first request of a new connection most likely arrives within this time.
-constexpr Micros fresh_span = milliseconds(100);
-constexpr Micros request_timeout = seconds(10);  // from a request's first byte to its last
-constexpr Micros answer_timeout = seconds(10);   // for the client to read a response, and to close after one
-constexpr Micros idle_timeout = seconds(300);    // between requests
-constexpr std::uint64_t budget_most_ms =
-    60 * 1000;  // upper bound of a valid X-Budget-Ms; no client waits that long
+constexpr Micros new_connection_time = milliseconds(100);
+constexpr Micros request_timeout = seconds(10);   // from a request's first byte to its last
+constexpr Micros response_timeout = seconds(10);  // for the client to read a response, and to close after one
+constexpr Micros idle_timeout = seconds(300);     // between requests
+constexpr std::uint64_t max_budget_ms = 60 * 1000;  // largest valid X-Budget-Ms; no client waits longer
 
 template <typename Number>
 bool parse_number(beast::string_view text, Number& value, int base = 10) {
@@ -40,7 +39,7 @@
 
 // Returns the value of the cookie `key`: parsed as a hexadecimal number, or hashed where it is none. 0 if
 // there is no such cookie.
-std::uint64_t key_of(beast::string_view cookies) {
+std::uint64_t cookie_key(beast::string_view cookies) {
     while (!cookies.empty()) {
         const auto end = std::min(cookies.find(';'), cookies.size());
         auto pair = cookies.substr(0, end);
@@ -56,7 +55,7 @@
 }
 
 template <typename Items>
-std::optional<int> place_of(const Items& items, beast::string_view name) {
+std::optional<int> index_of(const Items& items, beast::string_view name) {
     for (std::size_t i = 0; i < items.size(); ++i) {
         if (items[i].name == name) return static_cast<int>(i);
     }
@@ -64,21 +63,21 @@
 }
 
 // Returns whether the method, with the presence of an idempotency key, matches the effect of the class.
-bool method_fits(const HttpRequest& message, Effect effect) {
-    const bool keyed = !message["Idempotency-Key"].empty();
+bool method_matches_effect(const HttpRequest& message, Effect effect) {
+    const bool has_key = !message["Idempotency-Key"].empty();
     switch (effect) {
         case Effect::idempotent: return message.method() == http::verb::get;
-        case Effect::deduplicated: return message.method() == http::verb::post && keyed;
-        case Effect::at_most_once: return message.method() == http::verb::post && !keyed;
+        case Effect::deduplicated: return message.method() == http::verb::post && has_key;
+        case Effect::at_most_once: return message.method() == http::verb::post && !has_key;
     }
     return false;
 }
 
-beast::string_view path_of(const HttpRequest& message) {
+beast::string_view path_without_query(const HttpRequest& message) {
     return message.target().substr(0, message.target().find('?'));
 }
 
-HttpResponse plain_answer(http::status status) {
+HttpResponse plain_response(http::status status) {
     HttpResponse response(status, 11);
     response.set(http::field::content_type, "text/plain");
     response.body() = std::string(http::obsolete_reason(status)) + "\n";
@@ -87,27 +86,28 @@
 
 }  // namespace
 
-std::optional<ClientRequest> understand(HttpRequest message, const Settings& settings) {
+std::optional<ClientRequest> parse_client_request(HttpRequest message, const Settings& settings) {
     ClientRequest request;
-    for (const char* once : {"X-Call-Id", "X-Call-Class", "X-Budget-Ms", "Idempotency-Key"}) {
-        if (message.count(once) > 1) return std::nullopt;
+    for (const char* name : {"X-Call-Id", "X-Call-Class", "X-Budget-Ms", "Idempotency-Key"}) {
+        if (message.count(name) > 1) return std::nullopt;
     }
     if (message["X-Call-Id"].empty()) return std::nullopt;
-    const auto c = place_of(settings.classes, message["X-Call-Class"]);
-    if (!c || !method_fits(message, settings.classes[static_cast<std::size_t>(*c)].effect)) {
+    const auto class_index = index_of(settings.classes, message["X-Call-Class"]);
+    if (!class_index ||
+        !method_matches_effect(message, settings.classes[static_cast<std::size_t>(*class_index)].effect)) {
         return std::nullopt;
     }
     std::uint64_t budget_ms = 0;
-    if (!parse_number(message["X-Budget-Ms"], budget_ms) || budget_ms == 0 || budget_ms > budget_most_ms) {
+    if (!parse_number(message["X-Budget-Ms"], budget_ms) || budget_ms == 0 || budget_ms > max_budget_ms) {
         return std::nullopt;
     }
     request.budget = std::chrono::milliseconds(budget_ms);
-    request.facts.class_index = *c;
-    request.facts.tenant = place_of(settings.tenants, message["X-Caller"]);
-    request.facts.key = key_of(message[http::field::cookie]);
-    request.facts.client_retry = message["X-Again"] == "1";
+    request.policy_request.class_index = *class_index;
+    request.policy_request.tenant = index_of(settings.tenants, message["X-Caller"]);
+    request.policy_request.key = cookie_key(message[http::field::cookie]);
+    request.policy_request.client_retry = message["X-Again"] == "1";
     std::uint32_t cost_us = 0;
-    if (parse_number(message["X-Call-Cost"], cost_us)) request.facts.cost_hint = Micros(cost_us);
+    if (parse_number(message["X-Call-Cost"], cost_us)) request.policy_request.cost_hint = Micros(cost_us);
     request.message = std::move(message);
     return request;
 }
@@ -124,45 +124,47 @@
         error_code error;
         socket_.set_option(tcp::no_delay(true), error);
         socket_.non_blocking(true, error);
-        expect_request();
+        prepare_to_read_request();
         read();
     }
 
     // Returns whether the connection is between requests with no part of a request, and no close, received.
-    bool idle() { return state_ == State::reading && !request_begun() && no_input_pending(socket_); }
+    bool is_idle() { return state_ == State::reading && !has_partial_request() && no_input_pending(socket_); }
     // Returns whether the connection has been idle for long enough to be closed for a new one.
-    bool may_be_closed(Time now) { return now - since_ >= min_idle_before_close && idle(); }
-    Time since() const { return since_; }
+    bool may_be_replaced(Time now) { return now - state_since_ >= min_idle_before_close && is_idle(); }
+    Time state_since() const { return state_since_; }
     // Returns whether the connection is so new that its first request is most likely on its way.
-    bool fresh() const { return !asked_ && owner_.clock_.now() - opened_ < fresh_span; }
+    bool is_new() const {
+        return !has_received_request_ && owner_.clock_.now() - opened_at_ < new_connection_time;
+    }
 
-    bool overdue(Time now) {
+    bool is_overdue(Time now) {
         switch (state_) {
             case State::reading:
                 // Bounds how long a peer can hold a connection without ever sending a request.
-                if (!asked_) return now - opened_ > first_request_timeout;
-                if (request_begun()) return now - since_ > request_timeout;
+                if (!has_received_request_) return now - opened_at_ > first_request_timeout;
+                if (has_partial_request()) return now - state_since_ > request_timeout;
                 // A request that has arrived and is about to be read must not be lost.
-                return now - since_ > idle_timeout && no_input_pending(socket_);
+                return now - state_since_ > idle_timeout && no_input_pending(socket_);
             case State::waiting: return false;
-            default: return now - since_ > answer_timeout;
+            default: return now - state_since_ > response_timeout;
         }
     }
 
-    void answer(HttpResponse response) {
+    void respond(HttpResponse response) {
         response.version(11);
-        response.keep_alive(!ends_with_answer());
+        response.keep_alive(!closes_after_response());
         response.prepare_payload();
-        last_ = !response.keep_alive();
-        out_ = to_bytes(response);
-        written_ = 0;
-        enter(State::writing);
+        close_after_write_ = !response.keep_alive();
+        response_bytes_ = to_bytes(response);
+        written_bytes_ = 0;
+        set_state(State::writing);
         write();
     }
 
     // Detects a disconnect that has reached the socket before the event loop delivers it.
-    void notice_end() {
-        if (peer_has_closed(socket_)) gone();
+    void detect_disconnect() {
+        if (peer_has_closed(socket_)) on_disconnect();
     }
 
     void close() {
@@ -170,45 +172,45 @@
         closed_ = true;
         error_code ignored;
         socket_.close(ignored);
-        owner_.closed(this);
+        owner_.on_connection_closed(this);
     }
 
 private:
-    bool request_begun() const { return buffer_.size() > 0 || parser_->got_some(); }
+    bool has_partial_request() const { return buffer_.size() > 0 || parser_->got_some(); }
 
     // Returns whether the connection closes after this response. During the shutdown a further request that
     // has already arrived keeps it open for its own response, so that the request is not lost.
-    bool ends_with_answer() {
-        if (!keep_alive_ || overrun_) return true;
-        return owner_.winding_down_ && buffer_.size() == 0 && no_input_pending(socket_);
+    bool closes_after_response() {
+        if (!keep_alive_ || input_discarded_) return true;
+        return owner_.draining_ && buffer_.size() == 0 && no_input_pending(socket_);
     }
 
-    void enter(State state) {
+    void set_state(State state) {
         state_ = state;
-        since_ = owner_.clock_.now();
+        state_since_ = owner_.clock_.now();
     }
 
-    void expect_request() {
+    void prepare_to_read_request() {
         parser_.emplace();
         parser_->header_limit(max_header_bytes);
         parser_->body_limit(max_body_bytes);
         parser_->eager(true);
-        continued_ = false;
-        enter(State::reading);
+        continue_sent_ = false;
+        set_state(State::reading);
     }
 
     void read() {
-        if (reading_) return;
-        reading_ = true;
+        if (read_pending_) return;
+        read_pending_ = true;
         read_when_ready(socket_, buffer_, [self = shared_from_this()](error_code error) {
-            self->reading_ = false;
+            self->read_pending_ = false;
             if (self->closed_) return;
             if (error) {
-                self->gone();
+                self->on_disconnect();
                 return;
             }
-            self->take();
-            self->bound();
+            self->process_input();
+            self->limit_buffered_input();
             if (!self->closed_) self->read();
         });
     }
@@ -216,77 +218,77 @@
     // Bounds the input buffered behind the request being served. Input beyond the bound is discarded, and the
     // connection closes after the response. Reading goes on all the same: without a read a disconnect would
     // go undetected.
-    void bound() {
+    void limit_buffered_input() {
         if (state_ == State::reading || buffer_.size() <= max_header_bytes + max_body_bytes) return;
         buffer_.consume(buffer_.size());
-        overrun_ = true;
+        input_discarded_ = true;
     }
 
-    void gone() {
-        const bool waited = state_ == State::waiting;
-        const RequestId id = id_;
+    void on_disconnect() {
+        const bool was_waiting = state_ == State::waiting;
+        const RequestId id = request_id_;
         Clients& owner = owner_;
-        if (waited) owner.waiting_.erase(id);
+        if (was_waiting) owner.awaiting_response_.erase(id);
         close();
-        if (waited) owner.events_.on_client_left(id);
+        if (was_waiting) owner.events_.on_client_disconnected(id);
     }
 
-    void take() {
+    void process_input() {
         if (state_ == State::lingering) buffer_.consume(buffer_.size());
         if (state_ != State::reading || buffer_.size() == 0) return;
-        if (!parser_->got_some()) since_ = owner_.clock_.now();
+        if (!parser_->got_some()) state_since_ = owner_.clock_.now();
         error_code error;
         buffer_.consume(parser_->put(buffer_.data(), error));
         if (error && error != http::error::need_more) {
             // The end of this request is unknown, so the connection closes after the response.
             keep_alive_ = false;
             const bool large = error == http::error::body_limit;
-            answer(plain_answer(large ? http::status::payload_too_large : http::status::bad_request));
+            respond(plain_response(large ? http::status::payload_too_large : http::status::bad_request));
         } else if (parser_->is_done()) {
             dispatch(parser_->release());
-        } else if (parser_->is_header_done() && !continued_ &&
+        } else if (parser_->is_header_done() && !continue_sent_ &&
                    beast::iequals(parser_->get()[http::field::expect], "100-continue")) {
-            continued_ = true;
+            continue_sent_ = true;
             std::size_t sent = 0;
             if (!write_some(socket_, "HTTP/1.1 100 Continue\r\n\r\n", sent)) close();
         }
     }
 
     void dispatch(HttpRequest message) {
-        asked_ = true;
+        has_received_request_ = true;
         keep_alive_ = message.keep_alive();
         // The end of a body in an unknown transfer coding can't be found, so the connection closes after the
         // response.
         if (message.count(http::field::transfer_encoding) > 0 && !message.chunked()) {
             keep_alive_ = false;
-            answer(plain_answer(http::status::bad_request));
+            respond(plain_response(http::status::bad_request));
             return;
         }
-        const auto path = path_of(message);
+        const auto path = path_without_query(message);
         if (path == "/ready" && message.method() == http::verb::get) {
-            answer(plain_answer(owner_.winding_down_ ? http::status::service_unavailable : http::status::ok));
+            respond(plain_response(owner_.draining_ ? http::status::service_unavailable : http::status::ok));
             return;
         }
         if (path != "/api") {
-            answer(plain_answer(http::status::not_found));
+            respond(plain_response(http::status::not_found));
             return;
         }
-        auto request = understand(std::move(message), owner_.settings_);
+        auto request = parse_client_request(std::move(message), owner_.settings_);
         if (!request) {
-            answer(plain_answer(http::status::bad_request));
+            respond(plain_response(http::status::bad_request));
             return;
         }
-        id_ = request->facts.id = ++owner_.last_id_;
-        enter(State::waiting);
-        owner_.waiting_.emplace(id_, this);
+        request_id_ = request->policy_request.id = ++owner_.last_request_id_;
+        set_state(State::waiting);
+        owner_.awaiting_response_.emplace(request_id_, this);
         owner_.events_.on_client_request(std::move(*request));
     }
 
     void write() {
-        if (!write_some(socket_, out_, written_)) {
+        if (!write_some(socket_, response_bytes_, written_bytes_)) {
             close();
-        } else if (written_ == out_.size()) {
-            written();
+        } else if (written_bytes_ == response_bytes_.size()) {
+            on_response_written();
         } else {
             socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](error_code error) {
                 if (!error && !self->closed_ && self->state_ == State::writing) self->write();
@@ -294,17 +296,17 @@
         }
     }
 
-    void written() {
-        if (last_ || overrun_) {
+    void on_response_written() {
+        if (close_after_write_ || input_discarded_) {
             linger();
             return;
         }
-        expect_request();
+        prepare_to_read_request();
         if (buffer_.size() == 0) return;
         // Deferred, as this may run inside the handler of the last request.
         asio::post(owner_.loop_, [self = shared_from_this()] {
             if (self->closed_) return;
-            self->take();
+            self->process_input();
             if (!self->closed_) self->read();
         });
     }
@@ -313,7 +315,7 @@
     // response on its way. Only the sending side is shut down, and input is discarded until the client
     // closes.
     void linger() {
-        enter(State::lingering);
+        set_state(State::lingering);
         error_code error;
         socket_.shutdown(tcp::socket::shutdown_send, error);
         if (error) {
@@ -328,18 +330,18 @@
     tcp::socket socket_;
     beast::flat_buffer buffer_;
     std::optional<http::request_parser<http::string_body>> parser_;
-    std::string out_;
-    std::size_t written_ = 0;
-    RequestId id_ = 0;
-    Time since_{};  // when the state was entered, or the first byte of the request read
+    std::string response_bytes_;
+    std::size_t written_bytes_ = 0;
+    RequestId request_id_ = 0;
+    Time state_since_{};  // when the state was entered, or the first byte of the request read
     State state_ = State::reading;
-    const Time opened_ = owner_.clock_.now();
-    bool asked_ = false;  // a complete request has been received
-    bool reading_ = false;
+    const Time opened_at_ = owner_.clock_.now();
+    bool has_received_request_ = false;  // a complete request has been received
+    bool read_pending_ = false;
     bool keep_alive_ = true;
-    bool continued_ = false;
-    bool overrun_ = false;  // input has been discarded
-    bool last_ = false;
+    bool continue_sent_ = false;
+    bool input_discarded_ = false;
+    bool close_after_write_ = false;
     bool closed_ = false;
 };
 
@@ -351,9 +353,9 @@
       max_connections_(max_connections),
       events_(events),
       acceptor_(loop),
-      accept_retry_(loop),
-      room_check_(loop),
-      sweep_(loop) {}
+      accept_retry_timer_(loop),
+      capacity_check_timer_(loop),
+      sweep_timer_(loop) {}
 
 Clients::~Clients() { stop(); }
 
@@ -363,37 +365,37 @@
     acceptor_.bind(address);
     acceptor_.non_blocking(true);
     acceptor_.listen(asio::socket_base::max_listen_connections);
-    accept();
+    wait_for_connection();
     sweep();
 }
 
 tcp::endpoint Clients::address() const { return acceptor_.local_endpoint(); }
 
-void Clients::accept() {
-    if (accepting_ || !acceptor_.is_open()) return;
-    accepting_ = true;
+void Clients::wait_for_connection() {
+    if (accept_pending_ || !acceptor_.is_open()) return;
+    accept_pending_ = true;
     acceptor_.async_wait(tcp::acceptor::wait_read, [this](error_code error) {
         if (error) return;
-        accepting_ = false;
-        take_connection();
+        accept_pending_ = false;
+        accept_connection();
     });
 }
 
 // Closes an idle connection only for one that is already in the backlog: the client of the closed one may
 // have a request on its way.
-bool Clients::take_connection() {
-    if (connections_.size() >= max_connections_ && !make_room()) {
-        wait_for_room();
+bool Clients::accept_connection() {
+    if (connections_.size() >= max_connections_ && !close_longest_idle()) {
+        wait_for_capacity();
         return false;
     }
     tcp::socket socket(loop_);
     error_code error;
     acceptor_.accept(socket, error);
-    const bool passing = error == asio::error::would_block || error == asio::error::try_again ||
-                         error == asio::error::connection_aborted || error == asio::error::interrupted;
-    if (error && !passing) {
-        make_room();
-        accept_later();
+    const bool is_transient = error == asio::error::would_block || error == asio::error::try_again ||
+                              error == asio::error::connection_aborted || error == asio::error::interrupted;
+    if (error && !is_transient) {
+        close_longest_idle();
+        retry_accept();
         return false;
     }
     if (!error) {
@@ -401,37 +403,37 @@
         connections_.emplace(connection.get(), connection);
         connection->start();
     }
-    accept();
+    wait_for_connection();
     return !error;
 }
 
 // Prevents a busy loop when descriptors run out: the listener stays readable, and each accept fails at once.
-void Clients::accept_later() {
-    accept_retry_.expires_after(accept_retry_delay);
-    accept_retry_.async_wait([this](error_code error) {
-        if (!error) accept();
+void Clients::retry_accept() {
+    accept_retry_timer_.expires_after(accept_retry_delay);
+    accept_retry_timer_.async_wait([this](error_code error) {
+        if (!error) wait_for_connection();
     });
 }
 
 // Prevents a busy loop at the connection limit: the listener stays readable. Connections in the backlog are
 // checked at intervals instead.
-void Clients::wait_for_room() {
-    if (full_since_) return;
-    full_since_ = clock_.now();
-    check_for_room();
+void Clients::wait_for_capacity() {
+    if (at_capacity_since_) return;
+    at_capacity_since_ = clock_.now();
+    check_capacity();
 }
 
-void Clients::check_for_room() {
-    room_check_.expires_after(accept_retry_delay);
-    room_check_.async_wait([this](error_code error) {
+void Clients::check_capacity() {
+    capacity_check_timer_.expires_after(accept_retry_delay);
+    capacity_check_timer_.async_wait([this](error_code error) {
         if (error) return;
-        if (accepting_) {  // the wait of the last check is still pending: the backlog is empty
-            full_since_.reset();
-        } else if (clock_.now() - *full_since_ >= backlog_timeout) {
-            shut_backlog();
+        if (accept_pending_) {  // the wait of the last check is still pending: the backlog is empty
+            at_capacity_since_.reset();
+        } else if (clock_.now() - *at_capacity_since_ >= backlog_timeout) {
+            close_backlog();
         } else {
-            accept();
-            check_for_room();
+            wait_for_connection();
+            check_capacity();
         }
     });
 }
@@ -439,23 +441,23 @@
 // Closes all connections in the backlog unread. A client whose connection is closed at once can try elsewhere
 // instead of waiting for nothing, and no peer is left with neither a response nor a close. A request that has
 // not been read has not been accepted, so none is lost.
-void Clients::shut_backlog() {
-    full_since_.reset();
+void Clients::close_backlog() {
+    at_capacity_since_.reset();
     for (int i = 0; i < asio::socket_base::max_listen_connections; ++i) {
         tcp::socket unread(loop_);
         error_code error;
         acceptor_.accept(unread, error);
         if (error) break;
     }
-    accept();
+    wait_for_connection();
 }
 
-bool Clients::make_room() {
+bool Clients::close_longest_idle() {
     const Time now = clock_.now();
     Connection* oldest = nullptr;
     for (const auto& [connection, held] : connections_) {
-        if (oldest && connection->since() >= oldest->since()) continue;
-        if (connection->may_be_closed(now)) oldest = connection;
+        if (oldest && connection->state_since() >= oldest->state_since()) continue;
+        if (connection->may_be_replaced(now)) oldest = connection;
     }
     if (!oldest) return false;
     const auto held = connections_.at(oldest);
@@ -464,61 +466,61 @@
 }
 
 void Clients::sweep() {
-    sweep_.expires_after(sweep_interval);
-    sweep_.async_wait([this](error_code error) {
+    sweep_timer_.expires_after(sweep_interval);
+    sweep_timer_.async_wait([this](error_code error) {
         if (error) return;
         std::vector<std::shared_ptr<Connection>> overdue;
         for (const auto& [connection, held] : connections_) {
-            if (connection->overdue(clock_.now())) overdue.push_back(held);
+            if (connection->is_overdue(clock_.now())) overdue.push_back(held);
         }
         for (const auto& connection : overdue) connection->close();
         sweep();
     });
 }
 
-void Clients::answer(RequestId request, HttpResponse response) {
-    const auto found = waiting_.find(request);
-    if (found == waiting_.end()) return;
+void Clients::respond(RequestId request, HttpResponse response) {
+    const auto found = awaiting_response_.find(request);
+    if (found == awaiting_response_.end()) return;
     const auto connection = found->second->shared_from_this();
-    waiting_.erase(found);
-    connection->answer(std::move(response));
+    awaiting_response_.erase(found);
+    connection->respond(std::move(response));
 }
 
-void Clients::notice_end(RequestId request) {
-    const auto found = waiting_.find(request);
-    if (found == waiting_.end()) return;
+void Clients::detect_disconnect(RequestId request) {
+    const auto found = awaiting_response_.find(request);
+    if (found == awaiting_response_.end()) return;
     const auto connection = found->second->shared_from_this();
-    connection->notice_end();
+    connection->detect_disconnect();
 }
 
-bool Clients::wind_down() {
-    winding_down_ = true;
+bool Clients::drain() {
+    draining_ = true;
     // Connections that the kernel has already established would be reset when the listener closes.
-    while (acceptor_.is_open() && take_connection()) {
+    while (acceptor_.is_open() && accept_connection()) {
     }
     std::vector<std::shared_ptr<Connection>> idle;
     for (const auto& [connection, held] : connections_) {
-        if (connection->idle() && !connection->fresh()) idle.push_back(held);
+        if (connection->is_idle() && !connection->is_new()) idle.push_back(held);
     }
     for (const auto& connection : idle) connection->close();
     return !connections_.empty();
 }
 
-void Clients::closed(Connection* connection) {
+void Clients::on_connection_closed(Connection* connection) {
     connections_.erase(connection);
-    accept();
+    wait_for_connection();
 }
 
 void Clients::stop() {
     error_code ignored;
     acceptor_.close(ignored);
-    accept_retry_.cancel();
-    room_check_.cancel();
-    sweep_.cancel();
+    accept_retry_timer_.cancel();
+    capacity_check_timer_.cancel();
+    sweep_timer_.cancel();
     const auto held = std::move(connections_);
     connections_.clear();
     for (const auto& [connection, owned] : held) connection->close();
-    waiting_.clear();
+    awaiting_response_.clear();
 }
 
 }  // namespace flaxdoor::net
--- a/src/net/clients.h
+++ b/src/net/clients.h
@@ -17,9 +17,10 @@
 
 namespace flaxdoor::net {
 
-// A valid request. The deadline in `facts` is not set; `budget` is the time that the client still waits.
+// A valid request. The deadline in `policy_request` is not set; `budget` is the time that the client still
+// waits.
 struct ClientRequest {
-    Request facts;
+    Request policy_request;
     Micros budget{};
     HttpRequest message;
 };
@@ -30,7 +31,7 @@
     virtual ~ClientEvents() = default;
     virtual void on_client_request(ClientRequest request) = 0;
     // The client of a request that has no response yet has disconnected. No response can reach it.
-    virtual void on_client_left(RequestId request) = 0;
+    virtual void on_client_disconnected(RequestId request) = 0;
 };
 
 // The listening socket and the client connections. Runs on the thread of `loop`; `loop`, `clock`, `settings`
@@ -49,14 +50,14 @@
     boost::asio::ip::tcp::endpoint address() const;
 
     // Sends the only response to a request. Does nothing if the client has disconnected.
-    void answer(RequestId request, HttpResponse response);
+    void respond(RequestId request, HttpResponse response);
     // Calls on_client_left() at once if the client of the request has disconnected by now, even if the event
     // loop has not delivered that yet.
-    void notice_end(RequestId request);
+    void detect_disconnect(RequestId request);
     // From now on a response closes its connection unless a further request has arrived on it, and idle
     // connections are closed. Returns whether other connections remain: a request is being received or
     // served, or the client may not have received its response yet.
-    bool wind_down();
+    bool drain();
     void stop();
 
 private:
@@ -64,19 +65,19 @@
     friend class Connection;
 
     // Waits for the next connection in the backlog and accepts it.
-    void accept();
+    void wait_for_connection();
     // Returns whether a connection has been accepted, so that there may be more in the backlog.
-    bool take_connection();
-    void accept_later();
+    bool accept_connection();
+    void retry_accept();
     // Leaves connections in the backlog until one can be accepted or their time limit is over.
-    void wait_for_room();
-    void check_for_room();
-    void shut_backlog();
+    void wait_for_capacity();
+    void check_capacity();
+    void close_backlog();
     // Closes the connection that has been idle longest, if one may be closed. Returns whether it closed one.
-    bool make_room();
+    bool close_longest_idle();
     // Closes, at regular intervals, the connections that have been in their state for too long.
     void sweep();
-    void closed(Connection* connection);
+    void on_connection_closed(Connection* connection);
 
     boost::asio::io_context& loop_;
     const Clock& clock_;
@@ -84,19 +85,19 @@
     const std::size_t max_connections_;
     ClientEvents& events_;
     boost::asio::ip::tcp::acceptor acceptor_;
-    boost::asio::steady_timer accept_retry_;
-    boost::asio::steady_timer room_check_;
-    boost::asio::steady_timer sweep_;
+    boost::asio::steady_timer accept_retry_timer_;
+    boost::asio::steady_timer capacity_check_timer_;
+    boost::asio::steady_timer sweep_timer_;
     std::unordered_map<Connection*, std::shared_ptr<Connection>> connections_;
-    std::unordered_map<RequestId, Connection*> waiting_;
-    RequestId last_id_ = 0;
-    bool accepting_ = false;          // an asynchronous wait on the listener is pending
-    std::optional<Time> full_since_;  // set while connections in the backlog can't be accepted
-    bool winding_down_ = false;
+    std::unordered_map<RequestId, Connection*> awaiting_response_;
+    RequestId last_request_id_ = 0;
+    bool accept_pending_ = false;            // an asynchronous wait on the listener is pending
+    std::optional<Time> at_capacity_since_;  // set while connections in the backlog can't be accepted
+    bool draining_ = false;
 };
 
 // Returns the request with its headers parsed for the policy, or nothing when a required header is missing,
 // repeated or invalid, or the method doesn't match the effect of the class.
-std::optional<ClientRequest> understand(HttpRequest message, const Settings& settings);
+std::optional<ClientRequest> parse_client_request(HttpRequest message, const Settings& settings);
 
 }  // namespace flaxdoor::net
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -15,7 +15,7 @@
 using nlohmann::json;
 
 // Returns a value as text. Characters that separate values or lines in the flattened form become "_".
-std::string plain(const json& value) {
+std::string scalar_text(const json& value) {
     std::string text = value.is_string() ? value.get<std::string>() : value.dump();
     for (char& c : text) {
         if (c == ' ' || c == ',' || c == '\n' || c == '\r') c = '_';
@@ -24,27 +24,27 @@
 }
 
 void flatten_into(std::string& lines, const std::string& path, const json& value) {
-    const auto below = [&](const std::string& name) { return path.empty() ? name : path + "." + name; };
+    const auto child_path = [&](const std::string& name) { return path.empty() ? name : path + "." + name; };
     if (value.is_object()) {
-        for (const auto& [name, member] : value.items()) flatten_into(lines, below(name), member);
+        for (const auto& [name, member] : value.items()) flatten_into(lines, child_path(name), member);
     } else if (value.is_array() && !value.empty() && value.front().is_object()) {
-        lines += below("count") + "=" + std::to_string(value.size()) + "\n";
+        lines += child_path("count") + "=" + std::to_string(value.size()) + "\n";
         for (std::size_t i = 0; i < value.size(); ++i) {
-            flatten_into(lines, below(std::to_string(i)), value[i]);
+            flatten_into(lines, child_path(std::to_string(i)), value[i]);
         }
     } else if (value.is_array()) {
         lines += path + "=";
         for (std::size_t i = 0; i < value.size(); ++i) {
             if (i > 0) lines += ',';
-            lines += plain(value[i]);
+            lines += scalar_text(value[i]);
         }
         lines += "\n";
     } else if (!value.is_null()) {
-        lines += path + "=" + plain(value) + "\n";
+        lines += path + "=" + scalar_text(value) + "\n";
     }
 }
 
-std::vector<std::string> strings(const json& settings, const char* name) {
+std::vector<std::string> string_items(const json& settings, const char* name) {
     std::vector<std::string> items;
     const auto found = settings.find(name);
     if (found == settings.end() || !found->is_array()) return items;
@@ -85,9 +85,9 @@
     boost::system::error_code error;
     const auto address = boost::asio::ip::make_address_v4(text.substr(0, colon), error);
     const char* const last = text.data() + text.size();
-    const auto [end, bad] =
+    const auto [end, port_error] =
         std::from_chars(colon == std::string::npos ? last : text.data() + colon + 1, last, port);
-    if (error || bad != std::errc{} || end != last)
+    if (error || port_error != std::errc{} || end != last)
         throw std::invalid_argument("not an IPv4 address and port: " + text);
     return {address, port};
 }
@@ -95,25 +95,25 @@
 Config parse_config(std::string_view text) {
     const json config = json::parse(text);
     const json& settings = config.at("settings");
-    Config c;
-    c.name = config.value("name", "");
-    c.settings = wire::parse_facts(flatten(settings));
-    restore_names(c.settings.classes, settings, "services");
-    restore_names(c.settings.tenants, settings, "tenants");
-    c.seed = parse_seed(config.at("seed"));
-    c.listen = parse_endpoint(config.at("listen").get<std::string>());
-    c.discovery = parse_endpoint(config.at("discovery").get<std::string>());
+    Config result;
+    result.name = config.value("name", "");
+    result.settings = wire::parse_facts(flatten(settings));
+    restore_names(result.settings.classes, settings, "services");
+    restore_names(result.settings.tenants, settings, "tenants");
+    result.seed = parse_seed(config.at("seed"));
+    result.listen_address = parse_endpoint(config.at("listen").get<std::string>());
+    result.discovery_address = parse_endpoint(config.at("discovery").get<std::string>());
     if (const auto limits = config.find("limits"); limits != config.end()) {
-        c.sockets = limits->value("sockets", c.sockets);
+        result.max_sockets = limits->value("sockets", result.max_sockets);
     }
     if (const auto reports = settings.find("load_report"); reports != settings.end()) {
-        c.report_fields = strings(*reports, "fields");
+        result.report_fields = string_items(*reports, "fields");
     }
-    c.names = {strings(settings, "zones"), strings(settings, "flavors")};
+    result.list_names = {string_items(settings, "zones"), string_items(settings, "flavors")};
     if (const auto known = config.find("known"); known != config.end()) {
-        c.known = parse_list(known->dump(), c.names);
+        result.known_list = parse_list(known->dump(), result.list_names);
     }
-    return c;
+    return result;
 }
 
 Config load_config(const std::string& path) {
--- a/src/net/config.h
+++ b/src/net/config.h
@@ -13,19 +13,19 @@
 
 namespace flaxdoor::net {
 
-// The parsed configuration file. The keys are in the comments where they differ from the fields' names.
+// The parsed configuration file. A comment names the JSON key where it differs from the field's name.
 struct Config {
     std::string name;
     Settings settings;
     std::uint64_t seed = 0;
-    boost::asio::ip::tcp::endpoint listen;
-    boost::asio::ip::tcp::endpoint discovery;
-    std::size_t sockets = 1024;
+    boost::asio::ip::tcp::endpoint listen_address;     // listen
+    boost::asio::ip::tcp::endpoint discovery_address;  // discovery
+    std::size_t max_sockets = 1024;                    // limits.sockets: open descriptors in all
 
     // The fields of a load report in the settings' order, under the names that load reports use.
     std::vector<std::string> report_fields;
-    ListNames names;
-    List known;
+    ListNames list_names;  // settings.zones and settings.flavors
+    List known_list;       // known: the list to start with
 };
 
 // Parses the text of a configuration. Throws a std::exception whose message is one line that names what is
--- a/src/net/host.cpp
+++ b/src/net/host.cpp
@@ -1,50 +1,51 @@
+#include "net/host.h"
+
 #include <sys/resource.h>
 
 #include <algorithm>
 #include <cstdio>
 #include <random>
 
-#include "net/host.h"
-
 namespace flaxdoor::net {
 
 namespace {
 
 using std::chrono::milliseconds;
 
-// A client measures from sending its request to receiving the response. This process sees neither the way of
-// the request to it nor the way of the response back, so this much is taken off the client's budget.
-constexpr Micros unseen = milliseconds(4);
-// The part of it that is kept for the way back when the host itself answers a request at its deadline.
-constexpr Micros way_back = milliseconds(2);
+// A client's budget runs from sending the request to receiving the response. It includes network time that
+// this process can't measure, the trip of the request here and of the response back, so this much is
+// subtracted.
+constexpr Micros network_round_trip = milliseconds(4);
+// The part of it that is reserved for the trip back when the host itself answers a request at its deadline.
+constexpr Micros network_return_trip = milliseconds(2);
 // New connections keep arriving for up to 0.4 s after SIGTERM.
-constexpr auto still_coming = milliseconds(450);
-constexpr auto drain_poll = milliseconds(10);
-// SIGKILL follows SIGTERM no sooner than after the longest deadline of a class, but at most this long, plus
-// the delay below.
-constexpr Micros kill_longest = std::chrono::seconds(3);
-constexpr Micros kill_after = milliseconds(700);
+constexpr auto drain_accept_time = milliseconds(450);
+constexpr auto drain_poll_interval = milliseconds(10);
+// The earliest SIGKILL after SIGTERM: the longest deadline of a class, capped at the first of these, plus the
+// second.
+constexpr Micros max_deadline_before_kill = std::chrono::seconds(3);
+constexpr Micros kill_delay = milliseconds(700);
 // Times before SIGKILL: by the first all requests have their response, by the second the program has ended.
-constexpr Micros last_answer = milliseconds(150), last_moment = milliseconds(50);
-constexpr auto figures_gap = std::chrono::seconds(2);
+constexpr Micros respond_before_kill = milliseconds(150), exit_before_kill = milliseconds(50);
+constexpr auto statistics_interval = std::chrono::seconds(2);
 // Bounds of the delay before a failed watch on a pushed list is started again, before jitter.
-constexpr Micros rewatch_least = milliseconds(20), rewatch_most = milliseconds(500);
+constexpr Micros min_watch_delay = milliseconds(20), max_watch_delay = milliseconds(500);
 // Descriptors reserved for everything but client and upstream connections.
-constexpr std::size_t spare_sockets = 32;
+constexpr std::size_t reserved_sockets = 32;
 
-std::size_t sockets_of(const Config& config) {
-    std::size_t sockets = config.sockets;
-    rlimit told{};
-    if (::getrlimit(RLIMIT_NOFILE, &told) == 0) sockets = std::min<std::size_t>(sockets, told.rlim_cur);
-    return std::max<std::size_t>(sockets, spare_sockets + 4) - spare_sockets;
+std::size_t usable_sockets(const Config& config) {
+    std::size_t sockets = config.max_sockets;
+    rlimit limit{};
+    if (::getrlimit(RLIMIT_NOFILE, &limit) == 0) sockets = std::min<std::size_t>(sockets, limit.rlim_cur);
+    return std::max<std::size_t>(sockets, reserved_sockets + 4) - reserved_sockets;
 }
 
 // Returns how often a silent discovery call may be checked before it is given up. Where lists are pushed the
 // agent answers at once, so a silent call is given up and repeated early: the policy goes on using a pushed
 // list until it has a newer one.
-int checks_of(const Settings& settings) { return settings.must_request_list ? checks_most : 0; }
+int max_checks(const Settings& settings) { return settings.must_request_list ? checks_most : 0; }
 
-HttpResponse refusal(Micros retry_after) {
+HttpResponse refusal_response(Micros retry_after) {
     HttpResponse response(http::status::service_unavailable, 11);
     if (retry_after > Micros{0}) {
         char seconds[32];
@@ -54,7 +55,7 @@
     return response;
 }
 
-ListKind kind_of(ListFailure failure) {
+ListKind list_kind(ListFailure failure) {
     switch (failure) {
         case ListFailure::closed: return ListKind::closed;
         case ListFailure::unreachable: return ListKind::unreachable;
@@ -64,29 +65,29 @@
     return ListKind::failed;
 }
 
-HttpResponse failure(http::status status) { return {status, 11}; }
+HttpResponse failure_response(http::status status) { return {status, 11}; }
 
 }  // namespace
 
 Host::Host(asio::io_context& loop, Config config)
     : loop_(loop),
       config_(std::move(config)),
-      clients_(loop, clock_, config_.settings, sockets_of(config_) / 2, *this),
+      clients_(loop, clock_, config_.settings, usable_sockets(config_) / 2, *this),
       upstreams_(loop, clock_,
                  {config_.settings.connect_timeout, config_.settings.connection_idle_timeout,
-                  sockets_of(config_) / 2},
+                  usable_sockets(config_) / 2},
                  config_.report_fields, *this),
-      discovery_(loop, config_.discovery, config_.names, *this, checks_of(config_.settings)),
-      timer_(loop),
-      rewatch_(loop),
-      drain_(loop),
-      figures_(loop),
+      discovery_(loop, config_.discovery_address, config_.list_names, *this, max_checks(config_.settings)),
+      next_timer_(loop),
+      watch_timer_(loop),
+      drain_timer_(loop),
+      statistics_timer_(loop),
       policy_(config_.settings, config_.seed, clock_.now(), *this) {
-    discovery_.start_from(config_.known.version);
-    handle([this](Time now) { tell_policy(now, ListKind::cached, config_.known); });
+    discovery_.start_from(config_.known_list.version);
+    handle([this](Time now) { deliver_list(now, ListKind::cached, config_.known_list); });
     if (!config_.settings.must_request_list) discovery_.watch();
-    clients_.listen(config_.listen);
-    log_figures();
+    clients_.listen(config_.listen_address);
+    log_statistics();
     net::log("listening");
 }
 
@@ -112,24 +113,24 @@
 // ------------------------------------------------------------------------------------------------ actions
 
 void Host::submit(RequestId request, UpstreamId upstream, Micros timeout, Time send_by) {
-    actions_.push_back([=, this] { send(request, upstream, timeout, send_by); });
+    actions_.push_back([=, this] { send_attempt(request, upstream, timeout, send_by); });
 }
 
-void Host::send(RequestId request, UpstreamId upstream, Micros timeout, Time send_by) {
-    const auto found = open_.find(request);
-    if (found == open_.end()) return;
-    Open& open = found->second;
-    const AttemptKey attempt{request, open.attempts++};
-    ++open.in_flight;
+void Host::send_attempt(RequestId request, UpstreamId upstream, Micros timeout, Time send_by) {
+    const auto found = open_requests_.find(request);
+    if (found == open_requests_.end()) return;
+    OpenRequest& open = found->second;
+    const AttemptKey attempt{request, open.attempt_count++};
+    ++open.in_flight_count;
     // Sends nothing for a request that is completed or whose client has disconnected, nor more attempts than
     // are allowed.
-    clients_.notice_end(request);
-    if (open.answered || attempt.number >= config_.settings.max_attempts) {
-        AttemptResult moot;
-        moot.attempt = attempt;
-        moot.upstream = upstream;
-        moot.outcome = Outcome::not_sent;
-        on_attempt_result(std::move(moot));
+    clients_.detect_disconnect(request);
+    if (open.completed || attempt.number >= config_.settings.max_attempts) {
+        AttemptResult result;
+        result.attempt = attempt;
+        result.upstream = upstream;
+        result.outcome = Outcome::not_sent;
+        on_attempt_result(std::move(result));
         return;
     }
     const Time expires = timeout == Micros{0} ? open.deadline : std::min(open.deadline, now_ + timeout);
@@ -137,19 +138,19 @@
 }
 
 void Host::refuse(RequestId request, Micros retry_after) {
-    actions_.push_back([=, this] { answer(request, refusal(retry_after)); });
+    actions_.push_back([=, this] { respond(request, refusal_response(retry_after)); });
 }
 
 void Host::fail(RequestId request) {
-    actions_.push_back([=, this] { answer(request, failure(http::status::bad_gateway)); });
+    actions_.push_back([=, this] { respond(request, failure_response(http::status::bad_gateway)); });
 }
 
-void Host::answer(RequestId request, HttpResponse response) {
-    const auto found = open_.find(request);
-    if (found == open_.end() || found->second.answered) return;
-    found->second.answered = true;
-    clients_.answer(request, std::move(response));
-    forget_if_over(request);
+void Host::respond(RequestId request, HttpResponse response) {
+    const auto found = open_requests_.find(request);
+    if (found == open_requests_.end() || found->second.completed) return;
+    found->second.completed = true;
+    clients_.respond(request, std::move(response));
+    erase_if_finished(request);
 }
 
 void Host::cancel(RequestId request, int attempt) {
@@ -196,77 +197,80 @@
 
 void Host::on_client_request(ClientRequest request) {
     const Time received = clock_.now();
-    if (draining_) request.budget = std::clamp(answer_by_ - received, Micros{1}, request.budget);
-    const Micros unseen_here = std::min(unseen, request.budget / 2);
-    request.facts.deadline = received + request.budget - unseen_here;
-    const RequestId id = request.facts.id;
-    Open& open = open_[id];
+    if (draining_) request.budget = std::clamp(respond_by_ - received, Micros{1}, request.budget);
+    const Micros round_trip = std::min(network_round_trip, request.budget / 2);
+    request.policy_request.deadline = received + request.budget - round_trip;
+    const RequestId id = request.policy_request.id;
+    OpenRequest& open = open_requests_[id];
     open.message = std::move(request.message);
     strip_hop_by_hop(open.message);
     open.message.version(11);
     open.message.prepare_payload();
-    open.deadline = request.facts.deadline;
-    const Time guard = received + request.budget - std::min(way_back, request.budget / 4);
-    add_timer({guard, 0, true, id});
-    handle([this, facts = request.facts](Time now) { policy_.on_request(now, facts); });
+    open.deadline = request.policy_request.deadline;
+    const Time respond_at = received + request.budget - std::min(network_return_trip, request.budget / 4);
+    add_timer({respond_at, 0, true, id});
+    handle([this, policy_request = request.policy_request](Time now) {
+        policy_.on_request(now, policy_request);
+    });
 }
 
-void Host::on_client_left(RequestId request) {
-    const auto found = open_.find(request);
-    if (found == open_.end() || found->second.answered) return;
-    found->second.answered = true;
+void Host::on_client_disconnected(RequestId request) {
+    const auto found = open_requests_.find(request);
+    if (found == open_requests_.end() || found->second.completed) return;
+    found->second.completed = true;
     // Prevents an attempt from being sent on a connection that is established after the client has
     // disconnected, where sent attempts may not be cancelled.
     upstreams_.withdraw([=](AttemptKey attempt, UpstreamId) { return attempt.request == request; });
     handle([=, this](Time now) { policy_.on_client_gone(now, request); });
-    forget_if_over(request);
+    erase_if_finished(request);
 }
 
 // Forwards the first successful response to the client before the policy is notified of it.
 void Host::on_attempt_result(AttemptResult result) {
     const RequestId request = result.attempt.request;
-    const auto found = open_.find(request);
-    if (found == open_.end()) return;
-    --found->second.in_flight;
-    if (result.outcome == Outcome::ok && !found->second.answered) {
-        found->second.answered = true;
+    const auto found = open_requests_.find(request);
+    if (found == open_requests_.end()) return;
+    --found->second.in_flight_count;
+    if (result.outcome == Outcome::ok && !found->second.completed) {
+        found->second.completed = true;
         strip_hop_by_hop(result.answer);
         result.answer.erase("X-Load-Report");
-        clients_.answer(request, std::move(result.answer));
+        clients_.respond(request, std::move(result.answer));
     }
     AttemptEnd end;
     end.request = request;
     end.attempt = result.attempt.number;
     end.outcome = result.outcome;
-    end.request_done = found->second.answered;
+    end.request_done = found->second.completed;
     end.possible_duplicate = result.doubtful;
     end.latency = result.latency;
     end.upstream = result.upstream;
     end.report = std::move(result.report);
-    forget_if_over(request);
+    erase_if_finished(request);
     handle([this, end](Time now) { policy_.on_attempt_end(now, end); });
 }
 
 // The client may have disconnected while the connection was being established, with the event still queued in
 // the loop: the attempt is then withdrawn before its first byte is sent.
-void Host::on_connection(AttemptKey attempt) { clients_.notice_end(attempt.request); }
+void Host::on_connection(AttemptKey attempt) { clients_.detect_disconnect(attempt.request); }
 
 void Host::on_probe_result(ProbeResult result) {
     handle([this, result = std::move(result)](Time now) { policy_.on_probe_result(now, result); });
 }
 
-void Host::forget_if_over(RequestId request) {
-    const auto found = open_.find(request);
-    if (found != open_.end() && found->second.answered && found->second.in_flight == 0) open_.erase(found);
+void Host::erase_if_finished(RequestId request) {
+    const auto found = open_requests_.find(request);
+    if (found != open_requests_.end() && found->second.completed && found->second.in_flight_count == 0)
+        open_requests_.erase(found);
 }
 
 void Host::on_list(List list) {
     handle([this, list = std::move(list)](Time now) {
-        tell_policy(now, list.whole ? ListKind::full : ListKind::delta, list);
+        deliver_list(now, list.whole ? ListKind::full : ListKind::delta, list);
     });
 }
 
-void Host::tell_policy(Time now, ListKind kind, const List& list) {
+void Host::deliver_list(Time now, ListKind kind, const List& list) {
     std::vector<UpstreamEntry> entries;
     for (const auto& u : list.upstreams) {
         upstreams_.set_address(u.entry.id, u.address);
@@ -284,20 +288,21 @@
 }
 
 void Host::on_list_failed(ListFailure failure) {
-    handle([this, kind = kind_of(failure)](Time now) { policy_.on_list(now, kind, {}); });
-    if (failure == ListFailure::silent) return watch_again(Micros{0});
+    handle([this, kind = list_kind(failure)](Time now) { policy_.on_list(now, kind, {}); });
+    if (failure == ListFailure::silent) return restart_watch(Micros{0});
     // The drain grace of an upstream starts when the agent has the list that says so, whether or not a watch
     // is open. The delay is therefore kept well below the grace.
-    const Micros gap = std::clamp<Micros>(config_.settings.drain_grace / 8, rewatch_least, rewatch_most);
-    watch_again(gap + gap * (std::random_device{}() % 1000) / 1000);
+    const Micros delay =
+        std::clamp<Micros>(config_.settings.drain_grace / 8, min_watch_delay, max_watch_delay);
+    restart_watch(delay + delay * (std::random_device{}() % 1000) / 1000);
 }
 
 // Restarts the watch where lists are pushed: the policy doesn't ask for them there, and asking the agent on
 // this machine costs nothing. Elsewhere the policy decides when to ask.
-void Host::watch_again(Micros gap) {
+void Host::restart_watch(Micros delay) {
     if (config_.settings.must_request_list) return;
-    rewatch_.expires_after(gap);
-    rewatch_.async_wait([this](error_code error) {
+    watch_timer_.expires_after(delay);
+    watch_timer_.async_wait([this](error_code error) {
         if (!error) discovery_.watch();
     });
 }
@@ -305,65 +310,65 @@
 // ------------------------------------------------------------------------------------------------- timers
 
 void Host::add_timer(Timer timer) {
-    timer.order = ++timer_order_;
+    timer.sequence = ++last_timer_sequence_;
     const bool first = timers_.empty() || timer.at < timers_.top().at;
     timers_.push(timer);
-    if (first) arm();
+    if (first) arm_timer();
 }
 
-void Host::arm() {
-    timer_.expires_at(clock_.steady(timers_.top().at));
-    timer_.async_wait([this](error_code error) {
-        if (!error) run_timers();
+void Host::arm_timer() {
+    next_timer_.expires_at(clock_.steady(timers_.top().at));
+    next_timer_.async_wait([this](error_code error) {
+        if (!error) run_due_timers();
     });
 }
 
 // Runs the timers that are due by now. Timers that are set meanwhile run later, even those that are due at
 // once.
-void Host::run_timers() {
+void Host::run_due_timers() {
     std::vector<Timer> due;
     for (const Time now = clock_.now(); !timers_.empty() && timers_.top().at <= now; timers_.pop()) {
         due.push_back(timers_.top());
     }
     for (const Timer& timer : due) {
-        if (timer.guard) {
-            handle([this, id = timer.value](Time now) { answer_overdue(id, now); });
+        if (timer.is_request_deadline) {
+            handle([this, id = timer.value](Time now) { handle_overdue_request(id, now); });
         } else {
             handle([this, token = timer.value](Time now) { policy_.on_timer(now, token); });
         }
     }
-    if (!timers_.empty()) arm();
+    if (!timers_.empty()) arm_timer();
 }
 
 // The last safeguard: every client gets a response by its deadline, whatever went wrong before.
-void Host::answer_overdue(RequestId request, Time now) {
-    const auto found = open_.find(request);
-    if (found == open_.end() || found->second.answered) return;
+void Host::handle_overdue_request(RequestId request, Time now) {
+    const auto found = open_requests_.find(request);
+    if (found == open_requests_.end() || found->second.completed) return;
     net::log("error: request " + std::to_string(request) + " had no response by its deadline; sending 504");
-    give_up(request, now);
+    time_out_request(request, now);
 }
 
-void Host::give_up(RequestId request, Time now) {
-    answer(request, failure(http::status::gateway_timeout));
+void Host::time_out_request(RequestId request, Time now) {
+    respond(request, failure_response(http::status::gateway_timeout));
     policy_.on_client_gone(now, request);
 }
 
 void Host::reconfigure(const Config& config) {
     if (drained_) return;
     net::log("configuration reloaded");
-    if (!discovery_.move_to(config.discovery)) return;
+    if (!discovery_.move_to(config.discovery_address)) return;
     // Prevents changes from being missed while the back-off after a failed call to the old address lasts.
     handle([this](Time now) { policy_.on_list(now, ListKind::moved, {}); });
-    watch_again(Micros{0});
+    restart_watch(Micros{0});
 }
 
 // Logs statistics of attempts and connections for the analysis of incidents: one line per interval in which
 // there was any traffic.
-void Host::log_figures() {
+void Host::log_statistics() {
     if (const auto line = upstreams_.figures(); !line.empty()) net::log(line);
-    figures_.expires_after(figures_gap);
-    figures_.async_wait([this](error_code error) {
-        if (!error) log_figures();
+    statistics_timer_.expires_after(statistics_interval);
+    statistics_timer_.async_wait([this](error_code error) {
+        if (!error) log_statistics();
     });
 }
 
@@ -375,32 +380,32 @@
     net::log("draining");
     Micros longest{};
     for (const auto& c : config_.settings.classes) longest = std::max(longest, c.deadline);
-    const Time kill = clock_.now() + std::min(longest, kill_longest) + kill_after;
-    answer_by_ = kill - last_answer;
-    drain_end_ = kill - last_moment;
-    drain_.expires_after(still_coming);
-    drain_.async_wait([this](error_code error) {
-        if (!error) wind_down();
+    const Time kill = clock_.now() + std::min(longest, max_deadline_before_kill) + kill_delay;
+    respond_by_ = kill - respond_before_kill;
+    drain_deadline_ = kill - exit_before_kill;
+    drain_timer_.expires_after(drain_accept_time);
+    drain_timer_.async_wait([this](error_code error) {
+        if (!error) finish_drain();
     });
 }
 
 // Ends the program without losing a request: one that is only partly received, or not yet read, is still
 // served, and one whose deadline lies beyond the end is answered while that is possible. A client that never
 // closes its connection is not waited for.
-void Host::wind_down() {
-    if (clock_.now() >= answer_by_) {
+void Host::finish_drain() {
+    if (clock_.now() >= respond_by_) {
         std::vector<RequestId> waiting;
-        for (const auto& [request, open] : open_) {
-            if (!open.answered) waiting.push_back(request);
+        for (const auto& [request, open] : open_requests_) {
+            if (!open.completed) waiting.push_back(request);
         }
         for (const RequestId request : waiting) {
-            handle([=, this](Time now) { give_up(request, now); });
+            handle([=, this](Time now) { time_out_request(request, now); });
         }
     }
-    if (clients_.wind_down() && clock_.now() < drain_end_) {
-        drain_.expires_after(drain_poll);
-        drain_.async_wait([this](error_code error) {
-            if (!error) wind_down();
+    if (clients_.drain() && clock_.now() < drain_deadline_) {
+        drain_timer_.expires_after(drain_poll_interval);
+        drain_timer_.async_wait([this](error_code error) {
+            if (!error) finish_drain();
         });
         return;
     }
--- a/src/net/host.h
+++ b/src/net/host.h
@@ -42,21 +42,21 @@
 
 private:
     // A request, kept until it is completed and all of its attempts have ended.
-    struct Open {
+    struct OpenRequest {
         HttpRequest message;
         Time deadline{};
-        int attempts = 0;
-        int in_flight = 0;
-        bool answered = false;  // a response has been given, or the client has disconnected
+        int attempt_count = 0;
+        int in_flight_count = 0;
+        bool completed = false;  // a response has been given, or the client has disconnected
     };
 
     struct Timer {
         Time at{};
-        std::uint64_t order = 0;
-        bool guard = false;       // the deadline of a request, else a timer of the policy
-        std::uint64_t value = 0;  // the request's id, or the policy's token
+        std::uint64_t sequence = 0;
+        bool is_request_deadline = false;  // the deadline of a request, else a timer of the policy
+        std::uint64_t value = 0;           // the request's id, or the policy's token
         bool operator>(const Timer& other) const {
-            return at != other.at ? at > other.at : order > other.order;
+            return at != other.at ? at > other.at : sequence > other.sequence;
         }
     };
 
@@ -78,25 +78,25 @@
     void log(std::string_view line) override;
 
     void on_client_request(ClientRequest request) override;
-    void on_client_left(RequestId request) override;
+    void on_client_disconnected(RequestId request) override;
     void on_attempt_result(AttemptResult result) override;
     void on_connection(AttemptKey attempt) override;
     void on_probe_result(ProbeResult result) override;
     void on_list(List list) override;
     void on_list_failed(ListFailure failure) override;
 
-    void send(RequestId request, UpstreamId upstream, Micros timeout, Time send_by);
-    void answer(RequestId request, HttpResponse response);
-    void answer_overdue(RequestId request, Time now);
-    void give_up(RequestId request, Time now);
-    void tell_policy(Time now, ListKind kind, const List& list);
-    void watch_again(Micros gap);
+    void send_attempt(RequestId request, UpstreamId upstream, Micros timeout, Time send_by);
+    void respond(RequestId request, HttpResponse response);
+    void handle_overdue_request(RequestId request, Time now);
+    void time_out_request(RequestId request, Time now);
+    void deliver_list(Time now, ListKind kind, const List& list);
+    void restart_watch(Micros delay);
     void add_timer(Timer timer);
-    void arm();
-    void run_timers();
-    void forget_if_over(RequestId request);
-    void wind_down();
-    void log_figures();
+    void arm_timer();
+    void run_due_timers();
+    void erase_if_finished(RequestId request);
+    void finish_drain();
+    void log_statistics();
 
     boost::asio::io_context& loop_;
     const Config config_;
@@ -105,21 +105,21 @@
     Upstreams upstreams_;
     Discovery discovery_;
 
-    std::unordered_map<RequestId, Open> open_;
+    std::unordered_map<RequestId, OpenRequest> open_requests_;
     std::deque<std::function<void(Time)>> events_;
     std::deque<std::function<void()>> actions_;
     bool handling_ = false;
     Time now_{};
 
     std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
-    std::uint64_t timer_order_ = 0;
-    boost::asio::steady_timer timer_;
-    boost::asio::steady_timer rewatch_;
-    boost::asio::steady_timer drain_;
-    boost::asio::steady_timer figures_;
+    std::uint64_t last_timer_sequence_ = 0;
+    boost::asio::steady_timer next_timer_;
+    boost::asio::steady_timer watch_timer_;
+    boost::asio::steady_timer drain_timer_;
+    boost::asio::steady_timer statistics_timer_;
     bool draining_ = false;
-    Time answer_by_{};  // while draining: all responses must be sent by then, shortly before SIGKILL
-    Time drain_end_{};
+    Time respond_by_{};  // while draining: all responses must be sent by then, shortly before SIGKILL
+    Time drain_deadline_{};
     bool drained_ = false;
 
     Policy policy_;  // last: its constructor sets timers, which use the members above
--- a/tests/client_limits_test.cpp
+++ b/tests/client_limits_test.cpp
@@ -20,18 +20,18 @@
 using Steady = std::chrono::steady_clock;
 
 // The balancer reserves 32 descriptors; clients and upstreams get half of the others each.
-constexpr std::size_t sockets = 44;
-constexpr std::size_t client_connections = 6;
+constexpr std::size_t max_sockets = 44;
+constexpr std::size_t max_client_connections = 6;
 // A connection that has been idle for less time must not be closed.
-constexpr auto min_idle = seconds(2);
+constexpr auto min_idle_time = seconds(2);
 // A peer that sends no request must get a response or a close within this time.
-constexpr auto peer_deadline = seconds(3);
+constexpr auto peer_response_time = seconds(3);
 
-using Wires = std::vector<std::shared_ptr<PeerConnection>>;
+using Connections = std::vector<std::shared_ptr<PeerConnection>>;
 
 // Returns clients that have had one response each and keep their connections open.
-Wires idle_clients(HostHarness& s, std::size_t count) {
-    Wires clients;
+Connections idle_clients(HostHarness& s, std::size_t count) {
+    Connections clients;
     for (std::size_t i = 0; i < count; ++i) {
         clients.push_back(s.connect_client());
         clients.back()->send(ready_request());
@@ -40,21 +40,23 @@
     return clients;
 }
 
-Wires silent_clients(HostHarness& s, std::size_t count) {
-    Wires clients;
+Connections silent_clients(HostHarness& s, std::size_t count) {
+    Connections clients;
     for (std::size_t i = 0; i < count; ++i) clients.push_back(s.connect_client());
     return clients;
 }
 
-bool all_ended(const Wires& wires) {
-    return std::all_of(wires.begin(), wires.end(), [](const auto& wire) { return wire->peer_closed; });
+bool all_closed(const Connections& connections) {
+    return std::all_of(connections.begin(), connections.end(),
+                       [](const auto& connection) { return connection->peer_closed; });
 }
 
-bool none_ended(const Wires& wires) {
-    return std::none_of(wires.begin(), wires.end(), [](const auto& wire) { return wire->peer_closed; });
+bool none_closed(const Connections& connections) {
+    return std::none_of(connections.begin(), connections.end(),
+                        [](const auto& connection) { return connection->peer_closed; });
 }
 
-void expect_served(HostHarness& s, const Wires& clients) {
+void expect_served(HostHarness& s, const Connections& clients) {
     for (const auto& client : clients) {
         client->send(ready_request());
         EXPECT_EQ(status_code(s.await_response(*client)), 200);
@@ -91,125 +93,127 @@
 
 // Of two idle connections only the one that has been idle for 2 s is closed for a new client. The other one
 // is closed for the next client, after its own 2 s.
-TEST(ClientLimits, OnlyAConnectionIdleForTwoSecondsMakesRoom) {
+TEST(ClientLimits, OnlyAConnectionIdleForTwoSecondsIsReplaced) {
     HostHarness s(1);
     s.config["limits"]["sockets"] = 36;  // two of them for clients
     s.start();
     const auto older = s.connect_client(), younger = s.connect_client();
-    const auto older_not_before = Steady::now();
+    const auto older_idle_since = Steady::now();
     older->send(ready_request());
     EXPECT_EQ(status_code(s.await_response(*older)), 200);
     const std::string halves[] = {ready_request().substr(0, 10), ready_request().substr(10)};
     younger->send(halves[0]);
 
-    const auto shut = s.connect_client();
-    s.run_until([&] { return shut->peer_closed || older->peer_closed; });
+    const auto rejected = s.connect_client();
+    s.run_until([&] { return rejected->peer_closed || older->peer_closed; });
     EXPECT_FALSE(older->peer_closed);
 
-    const auto younger_not_before = Steady::now();
+    const auto younger_idle_since = Steady::now();
     younger->send(halves[1]);
     EXPECT_EQ(status_code(s.await_response(*younger)), 200);
     const auto newcomer = s.send_with_reconnects(ready_request());
     EXPECT_EQ(status_code(newcomer.second), 200);
     s.run_until([&] { return older->peer_closed; });
-    EXPECT_GE(older->peer_closed_at - older_not_before, min_idle);
+    EXPECT_GE(older->peer_closed_at - older_idle_since, min_idle_time);
     EXPECT_FALSE(younger->peer_closed);
 
     const auto another = s.send_with_reconnects(ready_request());
     EXPECT_EQ(status_code(another.second), 200);
     s.run_until([&] { return younger->peer_closed; });
-    EXPECT_GE(younger->peer_closed_at - younger_not_before, min_idle);
+    EXPECT_GE(younger->peer_closed_at - younger_idle_since, min_idle_time);
     EXPECT_FALSE(newcomer.first->peer_closed);
 }
 
 // A client that connects when another has been idle for long enough is served on its first connection.
-TEST(ClientLimits, AConnectionIdleForLongerMakesRoomAtOnce) {
+TEST(ClientLimits, AConnectionIdleForLongerIsReplacedAtOnce) {
     HostHarness s(1);
-    s.config["limits"]["sockets"] = sockets;
+    s.config["limits"]["sockets"] = max_sockets;
     s.start();
-    const auto idle = idle_clients(s, client_connections);
+    const auto idle = idle_clients(s, max_client_connections);
     const auto idle_since = Steady::now();
-    s.run_until([&] { return Steady::now() - idle_since > min_idle + std::chrono::milliseconds(200); });
-    EXPECT_TRUE(none_ended(idle));
+    s.run_until([&] { return Steady::now() - idle_since > min_idle_time + std::chrono::milliseconds(200); });
+    EXPECT_TRUE(none_closed(idle));
     const auto newcomer = s.connect_client();
     newcomer->send(idempotent_request());
     s.await_request().first->send(ok_response());
     EXPECT_EQ(status_code(s.await_response(*newcomer)), 200);
     s.run_until([&] { return idle.front()->peer_closed; });
-    expect_served(s, Wires(idle.begin() + 1, idle.end()));
+    expect_served(s, Connections(idle.begin() + 1, idle.end()));
 }
 
 // One new client replaces only one connection, even where several have been idle for long enough by the time
 // at which it is accepted.
-TEST(ClientLimits, ANewClientThatWaitsClosesOneConnection) {
+TEST(ClientLimits, AWaitingClientReplacesOnlyOneConnection) {
     HostHarness s(1);
-    s.config["limits"]["sockets"] = sockets;
+    s.config["limits"]["sockets"] = max_sockets;
     s.start();
-    Wires idle = silent_clients(s, client_connections);
+    Connections idle = silent_clients(s, max_client_connections);
     expect_served(s, idle);
     EXPECT_EQ(status_code(s.send_with_reconnects(ready_request()).second), 200);
-    s.run_until([&] { return !none_ended(idle); });
+    s.run_until([&] { return !none_closed(idle); });
     std::erase_if(idle, [](const auto& client) { return client->peer_closed; });
-    EXPECT_EQ(idle.size(), client_connections - 1);
+    EXPECT_EQ(idle.size(), max_client_connections - 1);
     expect_served(s, idle);
 }
 
 // While no idle connection may be closed, new connections are closed in time, without a busy loop.
-TEST(ClientLimits, NewClientsAreShutInTimeWithoutSpinning) {
-    constexpr std::size_t most_handlers = 200;
+TEST(ClientLimits, NewClientsAreClosedInTimeWithoutABusyLoop) {
+    constexpr std::size_t max_handlers = 200;
     HostHarness s(1);
-    s.config["limits"]["sockets"] = sockets;
+    s.config["limits"]["sockets"] = max_sockets;
     s.start();
-    const auto idle = idle_clients(s, client_connections);
+    const auto idle = idle_clients(s, max_client_connections);
     const auto connected_at = Steady::now();
     const auto newcomers = silent_clients(s, 3);
     std::size_t handlers = 0;
     s.run_until([&] {
         handlers += s.loop.poll_one();
-        return all_ended(newcomers);
+        return all_closed(newcomers);
     });
-    for (const auto& newcomer : newcomers) EXPECT_LT(newcomer->peer_closed_at - connected_at, peer_deadline);
-    EXPECT_LT(handlers, most_handlers);
-    EXPECT_TRUE(none_ended(idle));
+    for (const auto& newcomer : newcomers)
+        EXPECT_LT(newcomer->peer_closed_at - connected_at, peer_response_time);
+    EXPECT_LT(handlers, max_handlers);
+    EXPECT_TRUE(none_closed(idle));
 }
 
 // Idle clients hold all client connections, and more clients connect, while discovery refuses connections.
 // Clients with an open connection are still served, and lists arrive once discovery is back.
 TEST(ClientLimits, IdleClientsLeaveDescriptorsForUpstreamsAndDiscovery) {
-    constexpr std::size_t crowd_size = 40;
+    constexpr std::size_t extra_client_count = 40;
     HostHarness s(2);
     Listener discovery(s.loop, Listener::InitialState::reserved);
     s.config["discovery"] = endpoint_text(discovery.address());
-    s.config["limits"]["sockets"] = sockets;
+    s.config["limits"]["sockets"] = max_sockets;
     const auto descriptors_before = open_descriptors();
     s.start();
-    const auto idle = idle_clients(s, client_connections);
-    const auto crowd_came_at = Steady::now();
-    const auto crowd = silent_clients(s, crowd_size);
-    s.run_until([&] { return all_ended(crowd); });
-    for (const auto& wire : crowd) EXPECT_LT(wire->peer_closed_at - crowd_came_at, peer_deadline);
+    const auto idle = idle_clients(s, max_client_connections);
+    const auto extra_clients_connected_at = Steady::now();
+    const auto extra_clients = silent_clients(s, extra_client_count);
+    s.run_until([&] { return all_closed(extra_clients); });
+    for (const auto& connection : extra_clients)
+        EXPECT_LT(connection->peer_closed_at - extra_clients_connected_at, peer_response_time);
 
     const auto client = idle.front();
     client->send(idempotent_request());
-    const auto served_by = s.await_request().first;
-    ASSERT_TRUE(served_by);
-    const auto held_by_peers = idle.size() + crowd.size() + s.upstream_connection_count();
-    EXPECT_LE(open_descriptors() - descriptors_before - held_by_peers, sockets);
-    served_by->send(ok_response());
+    const auto serving_connection = s.await_request().first;
+    ASSERT_TRUE(serving_connection);
+    const auto peer_descriptors = idle.size() + extra_clients.size() + s.upstream_connection_count();
+    EXPECT_LE(open_descriptors() - descriptors_before - peer_descriptors, max_sockets);
+    serving_connection->send(ok_response());
     EXPECT_EQ(status_code(s.await_response(*client)), 200);
     EXPECT_TRUE(discovery.connections.empty());
 
     // The balancer closes its idle connection to an upstream that discovery lists as left.
     const std::size_t left = s.upstreams[0]->connections.empty() ? 1 : 0;
-    json news = s.list_json(9, false);
-    news["hosts"] = {s.upstream_json(left, "left")};
+    json update = s.list_json(9, false);
+    update["hosts"] = {s.upstream_json(left, "left")};
     discovery.listen();
     s.run_until([&] {
         return !discovery.connections.empty() && contains(discovery.connections[0]->received, "\r\n\r\n");
     });
     discovery.connections[0]->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-                                   chunk(news.dump() + "\n"));
-    s.run_until([&] { return served_by->peer_closed; });
+                                   chunk(update.dump() + "\n"));
+    s.run_until([&] { return serving_connection->peer_closed; });
     client->send(idempotent_request());
     s.await_request().first->send(ok_response());
     EXPECT_EQ(status_code(s.await_response(*client)), 200);
@@ -220,56 +224,56 @@
 // Each client connection that closes frees one for a new client.
 TEST(ClientLimits, NewClientsAreServedOnceOthersClose) {
     HostHarness s(1);
-    s.config["limits"]["sockets"] = sockets;
+    s.config["limits"]["sockets"] = max_sockets;
     s.start();
-    const auto idle = idle_clients(s, client_connections);
-    const auto shut = s.connect_client();
-    s.run_until([&] { return shut->peer_closed; });
-    EXPECT_TRUE(none_ended(idle));
-    constexpr std::size_t leaving = 3;
-    for (std::size_t i = 0; i < leaving; ++i) idle[i]->close();
-    for (std::size_t i = 0; i < leaving; ++i) {
+    const auto idle = idle_clients(s, max_client_connections);
+    const auto rejected = s.connect_client();
+    s.run_until([&] { return rejected->peer_closed; });
+    EXPECT_TRUE(none_closed(idle));
+    constexpr std::size_t closing_count = 3;
+    for (std::size_t i = 0; i < closing_count; ++i) idle[i]->close();
+    for (std::size_t i = 0; i < closing_count; ++i) {
         const auto newcomer = s.connect_client();
         newcomer->send(idempotent_request());
         s.await_request().first->send(ok_response());
         EXPECT_EQ(status_code(s.await_response(*newcomer)), 200);
     }
-    expect_served(s, Wires(idle.begin() + leaving, idle.end()));
+    expect_served(s, Connections(idle.begin() + closing_count, idle.end()));
 }
 
 // The descriptor limit of the process applies where it is below the configured one.
-TEST(ClientLimits, TheDescriptorLimitOfTheProcessHolds) {
+TEST(ClientLimits, TheDescriptorLimitOfTheProcessApplies) {
     HostHarness s(1);
     {
-        const LoweredDescriptorLimit lowered(sockets);
+        const LoweredDescriptorLimit lowered(max_sockets);
         s.start();
     }
-    const auto idle = idle_clients(s, client_connections);
+    const auto idle = idle_clients(s, max_client_connections);
     const auto newcomer = s.connect_client();
     s.run_until([&] { return newcomer->peer_closed; });
-    EXPECT_TRUE(none_ended(idle));
+    EXPECT_TRUE(none_closed(idle));
 }
 
 // Guards against losing a request that arrives on a connection idle for longer than the request timeout: the
 // sweep for overdue connections runs after the request has arrived and before it is read. The loop is blocked
 // for longer than the sweep interval, so that the sweep and the request fall into one run of the loop, in
 // either order of their timers.
-TEST(ClientLimits, ARequestThatCrossesALookAtAConnectionLongAtRestIsAnswered) {
-    constexpr auto longer_than_a_request = std::chrono::milliseconds(11000);
-    constexpr auto longer_than_between_looks = std::chrono::milliseconds(300);
+TEST(ClientLimits, ARequestThatArrivesDuringASweepIsAnswered) {
+    constexpr auto longer_than_request_timeout = std::chrono::milliseconds(11000);
+    constexpr auto longer_than_sweep_interval = std::chrono::milliseconds(300);
     HostHarness s(1);
     s.start();
     const auto client = s.connect_client();
     client->send(ready_request());
     EXPECT_EQ(status_code(s.await_response(*client)), 200);
-    const auto rested = Steady::now() + longer_than_a_request;
-    s.run_until([&] { return Steady::now() >= rested; });
-    asio::steady_timer crosses(s.loop, std::chrono::milliseconds(1));
-    crosses.async_wait([&](auto) {
+    const auto idle_until = Steady::now() + longer_than_request_timeout;
+    s.run_until([&] { return Steady::now() >= idle_until; });
+    asio::steady_timer send_timer(s.loop, std::chrono::milliseconds(1));
+    send_timer.async_wait([&](auto) {
         client->send(ready_request());
         while (client->undelivered_bytes() > 0) std::this_thread::sleep_for(std::chrono::milliseconds(1));
     });
-    std::this_thread::sleep_for(longer_than_between_looks);
+    std::this_thread::sleep_for(longer_than_sweep_interval);
     EXPECT_EQ(status_code(s.await_response(*client)), 200);
 }
 
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -1,8 +1,9 @@
 // The discovery client against a scripted discovery on loopback: which lists are taken, and when it calls.
+#include "net/discovery.h"
+
 #include <gtest/gtest.h>
 
 #include "discovery_peers.h"
-#include "net/discovery.h"
 
 namespace flaxdoor::test {
 
--- a/tests/message_forms_test.cpp
+++ b/tests/message_forms_test.cpp
@@ -19,16 +19,16 @@
 }
 
 // Sends the text in segments of `size` bytes; the host reads each before the next one is sent.
-void say_in_pieces(HostHarness& s, PeerConnection& wire, std::string_view text, std::size_t size) {
+void send_in_segments(HostHarness& s, PeerConnection& connection, std::string_view text, std::size_t size) {
     for (std::size_t at = 0; at < text.size(); at += size) {
-        wire.send(text.substr(at, size));
+        connection.send(text.substr(at, size));
         s.loop.restart();
         s.loop.poll();
     }
 }
 
 struct RequestForm {
-    const char* what;
+    const char* description;
     std::string text;
     std::string body;
 };
@@ -72,42 +72,42 @@
     };
 }
 
-TEST(Pieces, RequestsInAllFormsArePassedOnWholeAndOnce) {
+TEST(SegmentedMessages, RequestsInAllFormsAreForwardedCompleteAndOnce) {
     for (const std::size_t size : {1, 3, 7}) {
         for (const auto& form : request_forms()) {
             HostHarness s;
             s.start();
             const auto client = s.connect_client();
-            say_in_pieces(s, *client, form.text, size);
-            const auto [wire, request] = s.await_request();
-            EXPECT_TRUE(contains(request, "POST /api?a=1&b=%20 HTTP/1.1\r\n")) << form.what;
+            send_in_segments(s, *client, form.text, size);
+            const auto [connection, request] = s.await_request();
+            EXPECT_TRUE(contains(request, "POST /api?a=1&b=%20 HTTP/1.1\r\n")) << form.description;
             const std::string headers = lower_case(request.substr(0, request.find("\r\n\r\n") + 2));
-            EXPECT_TRUE(contains(headers, "\r\nx-call-id: 9b1f\r\n")) << form.what;
-            EXPECT_TRUE(contains(headers, "\r\nidempotency-key: k7\r\n")) << form.what;
-            EXPECT_FALSE(contains(headers, "\r\ntransfer-encoding:")) << form.what;
-            EXPECT_EQ(request.substr(request.find("\r\n\r\n") + 4), form.body) << form.what;
-            wire->send(ok_response());
+            EXPECT_TRUE(contains(headers, "\r\nx-call-id: 9b1f\r\n")) << form.description;
+            EXPECT_TRUE(contains(headers, "\r\nidempotency-key: k7\r\n")) << form.description;
+            EXPECT_FALSE(contains(headers, "\r\ntransfer-encoding:")) << form.description;
+            EXPECT_EQ(request.substr(request.find("\r\n\r\n") + 4), form.body) << form.description;
+            connection->send(ok_response());
             s.run_until([&] { return contains(client->received, "served"); });
-            EXPECT_TRUE(contains(client->received, "HTTP/1.1 200 OK\r\n")) << form.what;
+            EXPECT_TRUE(contains(client->received, "HTTP/1.1 200 OK\r\n")) << form.description;
             settle(s);
-            EXPECT_TRUE(s.no_unread_requests()) << form.what;
-            EXPECT_EQ(s.upstream_connection_count(), 1U) << form.what;
+            EXPECT_TRUE(s.no_unread_requests()) << form.description;
+            EXPECT_EQ(s.upstream_connection_count(), 1U) << form.description;
             client->received.clear();
             client->send(idempotent_request());  // parsed separately, as the end of the last one was found
             s.await_request().first->send(ok_response());
-            EXPECT_EQ(status_code(s.await_response(*client)), 200) << form.what;
+            EXPECT_EQ(status_code(s.await_response(*client)), 200) << form.description;
             s.host.reset();
         }
     }
 }
 
-TEST(Pieces, AnswersInAllFormsArePassedOnWhole) {
-    struct AnswerForm {
-        const char* what;
+TEST(SegmentedMessages, ResponsesInAllFormsAreForwardedComplete) {
+    struct ResponseForm {
+        const char* description;
         std::string text;
-        bool ends;
+        bool closes;
     };
-    const std::vector<AnswerForm> forms = {
+    const std::vector<ResponseForm> forms = {
         {"as documented", ok_response(), false},
         {"lower case, no spaces", "HTTP/1.1 200 OK\r\ncontent-length:6\r\n\r\nserved", false},
         {"upper case, spaces and tabs", "HTTP/1.1 200 OK\r\nCONTENT-LENGTH: \t6 \t\r\n\r\nserved", false},
@@ -129,18 +129,18 @@
             s.start();
             const auto client = s.connect_client();
             client->send(at_most_once_request());
-            const auto wire = s.await_request().first;
-            say_in_pieces(s, *wire, form.text, size);
-            if (form.ends) wire->close();
+            const auto connection = s.await_request().first;
+            send_in_segments(s, *connection, form.text, size);
+            if (form.closes) connection->close();
             const auto answer = s.await_response(*client);
-            EXPECT_EQ(status_code(answer), 200) << form.what;
-            EXPECT_EQ(answer.substr(answer.find("\r\n\r\n") + 4), "served") << form.what;
+            EXPECT_EQ(status_code(answer), 200) << form.description;
+            EXPECT_EQ(answer.substr(answer.find("\r\n\r\n") + 4), "served") << form.description;
             s.host.reset();
         }
     }
 }
 
-TEST(Pieces, ARefusalInAnyFormIsProofThatNothingRan) {
+TEST(SegmentedMessages, ARejectionInAnyFormIsRetried) {
     for (const std::string refusal :
          {"HTTP/1.1 503 Service Unavailable\r\nx-rejected:1\r\ncontent-length:0\r\n\r\n",
           "HTTP/1.1 504 \r\nX-REJECTED: \t1 \r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"}) {
@@ -148,7 +148,7 @@
         s.start();
         const auto client = s.connect_client();
         client->send(at_most_once_request());
-        say_in_pieces(s, *s.await_request().first, refusal, 3);
+        send_in_segments(s, *s.await_request().first, refusal, 3);
         s.await_request().first->send(ok_response());
         EXPECT_EQ(status_code(s.await_response(*client)), 200) << refusal;
         s.host.reset();
@@ -157,15 +157,15 @@
 
 // A response without a length ends with the close of the connection, not with a reset. After a reset the
 // attempt has failed, and the request may have run.
-TEST(Pieces, AnAnswerWithoutLengthThatIsResetIsNoAnswer) {
+TEST(SegmentedMessages, AResponseWithoutLengthThatIsResetIsNotForwarded) {
     for (const bool unsafe : {true, false}) {
         HostHarness s;
         s.start();
         const auto client = s.connect_client();
         client->send(unsafe ? at_most_once_request() : idempotent_request());
-        const auto wire = s.await_request().first;
-        say_in_pieces(s, *wire, "HTTP/1.1 200 OK\r\n\r\nserv", 7);
-        wire->reset();
+        const auto connection = s.await_request().first;
+        send_in_segments(s, *connection, "HTTP/1.1 200 OK\r\n\r\nserv", 7);
+        connection->reset();
         if (!unsafe) s.await_request().first->send(ok_response());
         EXPECT_EQ(status_code(s.await_response(*client)), unsafe ? 502 : 200);
         settle(s);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -11,7 +11,7 @@
 
 // ---------------------------------------------------------------------------------------------- requests
 
-TEST(Serving, PassesRequestAndAnswerOnUnchanged) {
+TEST(Serving, ForwardsRequestAndResponseUnchanged) {
     HostHarness s;
     s.start();
     const auto client = s.connect_client();
@@ -19,14 +19,14 @@
         "POST /api?a=1&b=%20 HTTP/1.1\r\nHost: api.internal\r\nX-Call-Id: 9b1f\r\nX-Call-Class: book it\r\n"
         "X-Budget-Ms: 5000\r\nIdempotency-Key: k7\r\nConnection: X-Hop\r\nX-Hop: 1\r\nContent-Length: "
         "5\r\n\r\na\0b\r\n"sv);
-    const auto [wire, request] = s.await_request();
+    const auto [connection, request] = s.await_request();
     EXPECT_TRUE(contains(request, "POST /api?a=1&b=%20 HTTP/1.1\r\n"));
     EXPECT_TRUE(contains(request, "X-Call-Id: 9b1f\r\n"));
     EXPECT_TRUE(contains(request, "Idempotency-Key: k7\r\n"));
     EXPECT_TRUE(contains(request, "X-Budget-Ms: "));
     EXPECT_FALSE(contains(request, "X-Hop"));
     EXPECT_EQ(request.substr(request.size() - 5), std::string("a\0b\r\n", 5));
-    wire->send(ok_response("x\r\ny", "X-Load-Report: active=1,avg_ms=2\r\n"));
+    connection->send(ok_response("x\r\ny", "X-Load-Report: active=1,avg_ms=2\r\n"));
     const auto answer = s.await_response(*client);
     EXPECT_EQ(status_code(answer), 200);
     EXPECT_EQ(answer.substr(answer.size() - 4), "x\r\ny");
@@ -34,7 +34,7 @@
     EXPECT_FALSE(client->peer_closed);
 }
 
-TEST(Serving, ReadyAnswersAtOnce) {
+TEST(Serving, ReadyRespondsAtOnce) {
     HostHarness s;
     s.start();
     const auto client = s.connect_client();
@@ -43,40 +43,40 @@
 }
 
 // The response is sent before the client's budget is spent, and the attempt without a response ends with it.
-TEST(Serving, AnswersBeforeTheClientGivesUp) {
+TEST(Serving, RespondsWithinTheClientsBudget) {
     HostHarness s;
     s.start();
     const auto client = s.connect_client();
     const auto sent = std::chrono::steady_clock::now();
     client->send(at_most_once_request(150));
-    const auto [wire, request] = s.await_request();
+    const auto [connection, request] = s.await_request();
     EXPECT_EQ(status_code(s.await_response(*client)), 502);
     EXPECT_GE(std::chrono::steady_clock::now() - sent, std::chrono::milliseconds(140));
-    s.run_until([&w = wire] { return w->peer_closed; });
+    s.run_until([&upstream_connection = connection] { return upstream_connection->peer_closed; });
 }
 
-TEST(Serving, ClientThatLeavesEndsItsAttempt) {
+TEST(Serving, ClientDisconnectEndsItsAttempt) {
     HostHarness s;
     s.start();
     const auto client = s.connect_client();
     client->send(idempotent_request());
-    const auto [wire, request] = s.await_request();
+    const auto [connection, request] = s.await_request();
     client->close();
-    s.run_until([&w = wire] { return w->peer_closed; });
+    s.run_until([&upstream_connection = connection] { return upstream_connection->peer_closed; });
     EXPECT_EQ(s.upstream_connection_count(), 1U);
 }
 
 // Two requests that arrive together are served one after the other.
-TEST(Serving, PipelinedRequestsAreTakenInTurn) {
+TEST(Serving, PipelinedRequestsAreServedInOrder) {
     HostHarness s;
     s.start();
     const auto client = s.connect_client();
     client->send(idempotent_request(5000, "first") + idempotent_request(5000, "second"));
     for (const char* id : {"first", "second"}) {
-        const auto [wire, request] = s.await_request();
+        const auto [connection, request] = s.await_request();
         EXPECT_TRUE(contains(request, id));
         EXPECT_TRUE(s.no_unread_requests());
-        wire->send(ok_response(id));
+        connection->send(ok_response(id));
         EXPECT_TRUE(contains(s.await_response(*client), id));
     }
 }
@@ -84,65 +84,66 @@
 // ------------------------------------------------------------------------------------ connection reuse
 
 // A connection is reused once its reuse delay has passed. Requests follow one another until that happens.
-TEST(Kept, ReusesAConnection) {
+TEST(ConnectionReuse, ReusesAConnection) {
     HostHarness s(1);
     s.start();
     const auto client = s.connect_client();
-    std::vector<std::shared_ptr<PeerConnection>> used;
-    const auto again = [&] {
+    std::vector<std::shared_ptr<PeerConnection>> used_connections;
+    const auto request_reuses_connection = [&] {
         client->send(idempotent_request());
-        const auto wire = s.await_request().first;
-        const bool known = std::find(used.begin(), used.end(), wire) != used.end();
-        used.push_back(wire);
-        wire->send(ok_response());
+        const auto connection = s.await_request().first;
+        const bool reused =
+            std::find(used_connections.begin(), used_connections.end(), connection) != used_connections.end();
+        used_connections.push_back(connection);
+        connection->send(ok_response());
         EXPECT_EQ(status_code(s.await_response(*client)), 200);
-        return known;
+        return reused;
     };
-    s.run_until(again);
-    EXPECT_LT(s.upstream_connection_count(), used.size());
-    EXPECT_FALSE(used.front()->peer_closed);
+    s.run_until(request_reuses_connection);
+    EXPECT_LT(s.upstream_connection_count(), used_connections.size());
+    EXPECT_FALSE(used_connections.front()->peer_closed);
 }
 
-TEST(Kept, HonoursConnectionClose) {
+TEST(ConnectionReuse, HonoursConnectionClose) {
     HostHarness s(1);
     s.start();
     const auto client = s.connect_client();
     for (std::size_t i = 0; i < 2; ++i) {
         client->send(idempotent_request());
-        const auto wire = s.await_request().first;
-        wire->send(ok_response("served", "Connection: close\r\n"));
+        const auto connection = s.await_request().first;
+        connection->send(ok_response("served", "Connection: close\r\n"));
         EXPECT_EQ(status_code(s.await_response(*client)), 200);
-        s.run_until([&] { return wire->peer_closed; });
+        s.run_until([&] { return connection->peer_closed; });
         EXPECT_EQ(s.upstream_connection_count(), i + 1);
     }
 }
 
 // A close that arrives while a connection is idle is detected before reuse. An unsafe request written to such
 // a connection would be lost.
-TEST(Kept, NoticesAnEndBeforeReuse) {
+TEST(ConnectionReuse, DetectsACloseBeforeReuse) {
     HostHarness s(1);
     s.start();
     const auto client = s.connect_client();
     client->send(at_most_once_request());
-    const auto wire = s.await_request().first;
-    wire->send(ok_response());
+    const auto connection = s.await_request().first;
+    connection->send(ok_response());
     EXPECT_EQ(status_code(s.await_response(*client)), 200);
     client->send(
         at_most_once_request());  // the request and the close below arrive before the host reads either
-    wire->close();
+    connection->close();
     s.await_request().first->send(ok_response());
     EXPECT_EQ(status_code(s.await_response(*client)), 200);
     EXPECT_EQ(s.upstream_connection_count(), 2U);
 }
 
 // Unsolicited bytes on a connection must not become the response to a later request.
-TEST(Kept, DropsAConnectionThatSpeaksUnasked) {
+TEST(ConnectionReuse, DropsAConnectionWithUnsolicitedBytes) {
     HostHarness s(1);
     s.start();
     const auto client = s.connect_client();
     client->send(idempotent_request());
-    const auto wire = s.await_request().first;
-    wire->send(ok_response("mine") + ok_response("nobody's"));
+    const auto connection = s.await_request().first;
+    connection->send(ok_response("mine") + ok_response("nobody's"));
     EXPECT_TRUE(contains(s.await_response(*client), "mine"));
     client->send(idempotent_request());
     s.await_request().first->send(ok_response("also mine"));
@@ -150,21 +151,21 @@
     EXPECT_EQ(s.upstream_connection_count(), 2U);
 }
 
-TEST(Kept, ClosesBeforeTheToldIdleLimit) {
+TEST(ConnectionReuse, ClosesBeforeTheConfiguredIdleTimeout) {
     HostHarness s(1);
     s.config["settings"]["limits"]["idle_close"] = 50.0;
     s.start();
     const auto client = s.connect_client();
     client->send(idempotent_request());
-    const auto wire = s.await_request().first;
-    wire->send(ok_response());
+    const auto connection = s.await_request().first;
+    connection->send(ok_response());
     EXPECT_EQ(status_code(s.await_response(*client)), 200);
-    s.run_until([&] { return wire->peer_closed; });
+    s.run_until([&] { return connection->peer_closed; });
 }
 
 // ---------------------------------------------------------------------------------------------- outcomes
 
-TEST(Outcomes, RefusedConnectionGoesOnElsewhere) {
+TEST(Outcomes, ConnectionRefusedIsRetriedElsewhere) {
     HostHarness s;
     s.upstreams[0]->close();
     s.start();
@@ -177,23 +178,23 @@
 }
 
 // A request that never ran is refused at its deadline, with advice on when to retry where clients heed it.
-TEST(Outcomes, RefusalTellsWhenToComeBack) {
-    for (const bool heeded : {true, false}) {
+TEST(Outcomes, RefusalCarriesRetryAfter) {
+    for (const bool advice_heeded : {true, false}) {
         HostHarness s;
         for (const auto& u : s.upstreams) u->close();
-        s.config["settings"]["limits"]["retry_after"] = heeded;
+        s.config["settings"]["limits"]["retry_after"] = advice_heeded;
         s.config["settings"]["limits"]["max_retry_after"] = 400.0;
         s.start();
         const auto client = s.connect_client();
         client->send(at_most_once_request(150));
         const auto answer = s.await_response(*client);
         EXPECT_EQ(status_code(answer), 503);
-        EXPECT_EQ(contains(answer, "Retry-After: 0.050\r\n"), heeded) << answer;
+        EXPECT_EQ(contains(answer, "Retry-After: 0.050\r\n"), advice_heeded) << answer;
     }
 }
 
 // A request that was written completely may have run, so an unsafe one is neither retried nor refused.
-TEST(Outcomes, ResetAfterTheLastByteIsNotSentAgain) {
+TEST(Outcomes, ResetAfterTheLastByteIsNotRetried) {
     HostHarness s;
     s.start();
     const auto client = s.connect_client();
@@ -220,16 +221,16 @@
     net::HttpRequest request(boost::beast::http::verb::get, "/api", 11);
     const Time expires = clock.now() + std::chrono::seconds(15);
     upstreams.send({1, 0}, 1, std::move(request), expires, expires);
-    const auto wire = s.await_request().first;
-    wire->send(response);
-    if (closes) wire->close();
+    const auto connection = s.await_request().first;
+    connection->send(response);
+    if (closes) connection->close();
     s.run_until([&] { return sink.outcome.has_value(); });
     return sink.outcome.value_or(Outcome::not_sent);
 }
 
 // An upstream that sends an unparsable response is alive, so the outcome is an error. Only a connection that
 // breaks is a reset.
-TEST(Outcomes, UnreadableAnswersAreErrors) {
+TEST(Outcomes, UnparsableResponsesAreErrors) {
     const std::string head = "HTTP/1.1 200 OK\r\n";
     const std::string chunked = head + "Transfer-Encoding: chunked\r\n\r\n";
     for (const std::string& bad :
@@ -246,7 +247,7 @@
     }
 }
 
-TEST(Outcomes, UnreadableAnswersAreNotSentAgain) {
+TEST(Outcomes, UnparsableResponsesAreNotRetried) {
     for (const std::string bad : {"nonsense\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
                                   "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n",
                                   "HTTP/1.1 101 Switching Protocols\r\n\r\n"}) {
@@ -254,26 +255,26 @@
         s.start();
         const auto client = s.connect_client();
         client->send(at_most_once_request());
-        const auto wire = s.await_request().first;
-        wire->send(bad);
+        const auto connection = s.await_request().first;
+        connection->send(bad);
         EXPECT_EQ(status_code(s.await_response(*client)), 502) << bad;
-        s.run_until([&] { return wire->peer_closed; });
+        s.run_until([&] { return connection->peer_closed; });
         EXPECT_EQ(s.upstream_connection_count(), 1U);
     }
 }
 
-TEST(Outcomes, AnswerCutShortIsNoAnswer) {
+TEST(Outcomes, TruncatedResponseIsNotForwarded) {
     HostHarness s;
     s.start();
     const auto client = s.connect_client();
     client->send(at_most_once_request());
-    const auto wire = s.await_request().first;
-    wire->send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
-    wire->close();
+    const auto connection = s.await_request().first;
+    connection->send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+    connection->close();
     EXPECT_EQ(status_code(s.await_response(*client)), 502);
 }
 
-TEST(Outcomes, OnlyAMarkedRejectionHasNotRun) {
+TEST(Outcomes, OnlyAMarkedRejectionIsRetried) {
     for (const bool marked : {true, false}) {
         HostHarness s;
         s.start();
@@ -292,7 +293,7 @@
     }
 }
 
-TEST(Outcomes, InterimAnswersAreSkipped) {
+TEST(Outcomes, InterimResponsesAreSkipped) {
     HostHarness s(1);
     s.start();
     const auto client = s.connect_client();
@@ -301,7 +302,7 @@
     EXPECT_TRUE(contains(s.await_response(*client), "final"));
 }
 
-TEST(Outcomes, LoadReportsThatDoNotParseAreDropped) {
+TEST(Outcomes, UnparsableLoadReportsAreDropped) {
     const std::vector<std::string> fields = {"active", "avg_ms"};
     EXPECT_EQ(net::parse_report("avg_ms=2.5,active=3", fields), (LoadReport{3, 2.5}));
     EXPECT_EQ(net::parse_report("active=3, avg_ms=2.5, other=9", fields), (LoadReport{3, 2.5}));
@@ -312,28 +313,29 @@
 }
 
 // An ejected upstream is probed, again after a failed probe, and readmitted after a successful one.
-TEST(Probes, BringAnUpstreamBack) {
+TEST(Probes, ReadmitAnEjectedUpstream) {
     HostHarness s;
     s.config["settings"]["limits"]["may_probe"] = true;
     s.start();
     const auto client = s.connect_client();
     client->send(idempotent_request());
     int probes = 0;
-    bool back = false;
-    const auto serve = [&](Listener& upstream, bool sick) {
-        for (const auto& wire : upstream.connections) {
-            const auto message = wire->take_message();
+    bool readmitted = false;
+    const auto serve = [&](Listener& upstream, bool ejected) {
+        for (const auto& connection : upstream.connections) {
+            const auto message = connection->take_message();
             if (message.empty()) continue;
             if (contains(message, "GET /health HTTP/1.1\r\n")) {
-                EXPECT_TRUE(sick);
+                EXPECT_TRUE(ejected);
                 EXPECT_FALSE(contains(message, "X-Call-Id"));
-                wire->send(++probes == 1 ? "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-                                         : ok_response());
-            } else if (sick && probes < 2) {
-                wire->send("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
+                connection->send(++probes == 1
+                                     ? "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+                                     : ok_response());
+            } else if (ejected && probes < 2) {
+                connection->send("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
             } else {
-                back = back || sick;
-                wire->send(ok_response());
+                readmitted = readmitted || ejected;
+                connection->send(ok_response());
             }
         }
     };
@@ -341,12 +343,12 @@
         serve(*s.upstreams[0], true);
         serve(*s.upstreams[1], false);
         if (!client->take_message().empty()) client->send(idempotent_request());
-        return back;
+        return readmitted;
     });
     EXPECT_EQ(probes, 2);
 }
 
-TEST(Probes, BringTheLoadReportWhereProbesCarryIt) {
+TEST(Probes, FetchTheLoadReportWhereProbesCarryIt) {
     HostHarness s(1);
     s.config["settings"]["limits"]["may_probe"] = true;
     s.config["settings"]["load_report"]["how"] = "on_probe";
@@ -354,11 +356,11 @@
     const auto client = s.connect_client();
     client->send(idempotent_request(100));
     s.run_until([&] {
-        for (const auto& wire : s.upstreams[0]->connections) {
-            const auto message = wire->take_message();
+        for (const auto& connection : s.upstreams[0]->connections) {
+            const auto message = connection->take_message();
             if (contains(message, "GET /status/load HTTP/1.1\r\n")) return true;
             if (!message.empty())
-                wire->send("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
+                connection->send("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
         }
         if (!client->take_message().empty()) client->send(idempotent_request(100));
         return false;
@@ -367,12 +369,12 @@
 
 // --------------------------------------------------------------------------------------------- bad input
 
-TEST(BadInput, IsAnsweredAndGoesNoFurther) {
+TEST(BadInput, IsRejectedAndNotForwarded) {
     const std::string head = "POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\n";
     struct Case {
         std::string text;
         int status;
-        bool framed;
+        bool stays_open;
     };
     const std::vector<Case> cases = {
         {"GET /other HTTP/1.1\r\nHost: x\r\n\r\n", 404, true},
@@ -398,7 +400,7 @@
         client->send(c.text);
         EXPECT_EQ(status_code(s.await_response(*client)), c.status) << c.text.substr(0, 200);
         EXPECT_EQ(s.upstream_connection_count(), 0U);
-        if (c.framed) {
+        if (c.stays_open) {
             client->send(idempotent_request());
             s.await_request().first->send(ok_response());
             EXPECT_EQ(status_code(s.await_response(*client)), 200);
@@ -409,18 +411,18 @@
 }
 
 // A peer that connects and sends no complete request is disconnected; a client between two requests is not.
-TEST(BadInput, PeersThatSendNoRequestAreLetGo) {
+TEST(BadInput, PeersThatSendNoRequestAreDisconnected) {
     HostHarness s(1);
     s.start();
-    const auto kept = s.connect_client();
-    kept->send(idempotent_request());
+    const auto idle = s.connect_client();
+    idle->send(idempotent_request());
     s.await_request().first->send(ok_response());
-    EXPECT_EQ(status_code(s.await_response(*kept)), 200);
+    EXPECT_EQ(status_code(s.await_response(*idle)), 200);
     const auto silent = s.connect_client();
-    const auto halting = s.connect_client();
-    halting->send(at_most_once_request().substr(0, 30));
-    s.run_until([&] { return silent->peer_closed && halting->peer_closed; });
-    EXPECT_FALSE(kept->peer_closed);
+    const auto incomplete = s.connect_client();
+    incomplete->send(at_most_once_request().substr(0, 30));
+    s.run_until([&] { return silent->peer_closed && incomplete->peer_closed; });
+    EXPECT_FALSE(idle->peer_closed);
     EXPECT_EQ(s.upstream_connection_count(), 1U);
 }
 
@@ -428,29 +430,29 @@
 
 // At the connection limit a client that has been idle for 2 s is closed for a new one. A client that waits
 // for its response never is.
-TEST(Limits, IdleClientsMakeRoom) {
+TEST(ConnectionLimit, IdleClientsAreClosedForNewOnes) {
     HostHarness s(1);
     s.config["limits"]["sockets"] = 36;  // two of them for clients
     s.start();
     const auto busy = s.connect_client();
     busy->send(at_most_once_request());  // unsafe, so its attempt is not ended early for a retry
-    const auto wire = s.await_request().first;
+    const auto connection = s.await_request().first;
     const auto idle = s.connect_client();
-    const auto idle_not_before = std::chrono::steady_clock::now();
+    const auto idle_since = std::chrono::steady_clock::now();
     idle->send(ready_request());
     EXPECT_EQ(status_code(s.await_response(*idle)), 200);
     const auto third = s.send_with_reconnects(ready_request());
     EXPECT_EQ(status_code(third.second), 200);
     s.run_until([&] { return idle->peer_closed; });
-    EXPECT_GE(idle->peer_closed_at - idle_not_before, std::chrono::seconds(2));
+    EXPECT_GE(idle->peer_closed_at - idle_since, std::chrono::seconds(2));
     EXPECT_FALSE(busy->peer_closed);
-    wire->send(ok_response());
+    connection->send(ok_response());
     EXPECT_EQ(status_code(s.await_response(*busy)), 200);
 }
 
 // A connection that waits in the backlog because all others are busy is accepted as soon as one of them
 // closes. The one that has become idle meanwhile stays open.
-TEST(Limits, ANewClientWaitsOnlyUntilOneCloses) {
+TEST(ConnectionLimit, ANewClientWaitsOnlyUntilAnotherCloses) {
     HostHarness s(1);
     s.config["limits"]["sockets"] = 36;  // two of them for clients
     s.start();
@@ -475,7 +477,7 @@
 // ---------------------------------------------------------------------------------------------- readiness
 
 // After a start, readiness depends neither on the state of discovery nor on having a list.
-TEST(Ready, IsToldAtOnceWhateverDiscoveryDoes) {
+TEST(Readiness, DoesNotDependOnDiscovery) {
     for (const std::string discovery : {"down", "silent", "refusing"}) {
         for (const bool known : {false, true}) {
             HostHarness s;
@@ -498,7 +500,7 @@
 
 // During a drain requests are accepted for a while, on existing and on new connections. Then the open ones
 // are answered with "Connection: close", and the loop stops.
-TEST(Drain, ServesWhatComesAndThenEnds) {
+TEST(Drain, ServesArrivingRequestsAndThenEnds) {
     HostHarness s;
     s.start();
     const auto idle = s.connect_client();
@@ -506,14 +508,14 @@
     idle->send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
     EXPECT_EQ(status_code(s.await_response(*idle)), 200);
     held->send(at_most_once_request());
-    const auto wire = s.await_request().first;
+    const auto connection = s.await_request().first;
     s.host->drain();
     const auto late = s.connect_client();
     late->send(at_most_once_request());
     s.await_request().first->send(ok_response("late"));
     EXPECT_TRUE(contains(s.await_response(*late), "late"));
     s.run_until([&] { return idle->peer_closed; });
-    wire->send(ok_response("held"));
+    connection->send(ok_response("held"));
     const auto answer = s.await_response(*held);
     EXPECT_TRUE(contains(answer, "held"));
     EXPECT_TRUE(contains(answer, "Connection: close\r\n"));
@@ -523,7 +525,7 @@
 }
 
 // A request that is only partly received when idle connections are closed is still accepted and answered.
-TEST(Drain, WaitsForARequestThatIsComing) {
+TEST(Drain, WaitsForAPartlyReceivedRequest) {
     HostHarness s;
     s.start();
     const auto idle = s.connect_client();
@@ -545,7 +547,7 @@
 
 // ------------------------------------------------------------------------------------------ configuration
 
-TEST(Config, FlattensToTheWiresLines) {
+TEST(Config, FlattensToTheWireFormat) {
     const json settings = {{"a", {{"b", 1.5}, {"c", true}}},
                            {"names", {"full node", "x,y"}},
                            {"none", json::array()},
@@ -554,18 +556,18 @@
               "a.b=1.5\na.c=true\nitems.count=2\nitems.0.k=v\nitems.1.k=2\nnames=full_node,x_y\nnone=\n");
 }
 
-TEST(Config, NamesStayAsMessagesHoldThem) {
+TEST(Config, NamesAreKeptAsMessagesCarryThem) {
     HostHarness s;
     const auto config = net::parse_config(s.config.dump());
     EXPECT_EQ(config.settings.classes[1].name, "book it");
-    EXPECT_EQ(config.known.version, 7U);
-    EXPECT_EQ(config.known.upstreams[0].entry.kind, 0);
+    EXPECT_EQ(config.known_list.version, 7U);
+    EXPECT_EQ(config.known_list.upstreams[0].entry.kind, 0);
     EXPECT_EQ(config.seed, 0x8c1f30d27a5be964ULL);
 }
 
 // Settings may name no zones, upstreams may be in zones that the settings don't name, and a deadline may be
 // shorter than the aim.
-TEST(Config, UnusualSettingsAreServed) {
+TEST(Config, UnusualSettingsAreAccepted) {
     for (const std::string what : {"no zones", "no zone at all", "another zone", "aim beyond deadline"}) {
         HostHarness s(1);
         json& settings = s.config["settings"];
@@ -583,7 +585,7 @@
     }
 }
 
-TEST(Config, ZonesThatAreNotNamedAreToldApart) {
+TEST(Config, UnnamedZonesAreDistinguished) {
     HostHarness s(3);
     json known = s.list_json(7, true);
     for (int i = 0; i < 3; ++i) known["hosts"][i]["site"] = i == 0 ? "x" : "y";
@@ -593,7 +595,7 @@
     for (const auto& u : list.upstreams) EXPECT_GE(u.entry.zone, 2);
 }
 
-TEST(Config, WhatIsMissingOrBrokenIsAnError) {
+TEST(Config, MissingOrInvalidKeysAreErrors) {
     HostHarness s;
     EXPECT_ANY_THROW(net::parse_config("{"));
     EXPECT_ANY_THROW(net::parse_config("[]"));
--- a/tests/rubbish_test.cpp
+++ b/tests/rubbish_test.cpp
@@ -17,9 +17,9 @@
 using Steady = std::chrono::steady_clock;
 
 // Time from the connect to an error or a close: for a short input, and where 60 MB are sent.
-constexpr std::chrono::seconds rubbish_limit(3), flood_limit(6);
+constexpr std::chrono::seconds reject_within(3), flood_reject_within(6);
 
-std::vector<std::string> rubbish() {
+std::vector<std::string> invalid_inputs() {
     using namespace std::string_literals;
     const std::string head = "POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Call-Class: once\r\n";
     const std::string request = at_most_once_request();
@@ -50,17 +50,17 @@
     };
 }
 
-bool refused_or_closed(const PeerConnection& wire) {
-    return wire.peer_closed || status_code(wire.received) >= 400;
+bool refused_or_closed(const PeerConnection& connection) {
+    return connection.peer_closed || status_code(connection.received) >= 400;
 }
 
 // One of the peers keeps sending a byte at a time until it is disconnected.
-TEST(Rubbish, GetsAnErrorOrACloseInTimeAndReachesNoUpstream) {
+TEST(InvalidInput, GetsAnErrorOrACloseInTimeAndReachesNoUpstream) {
     HostHarness s;
     s.start();
     const auto began = Steady::now();
     std::vector<std::shared_ptr<PeerConnection>> peers;
-    for (const auto& text : rubbish()) {
+    for (const auto& text : invalid_inputs()) {
         peers.push_back(s.connect_client());
         peers.back()->send(text);
     }
@@ -70,21 +70,21 @@
         return refused_or_closed(*trickling) &&
                std::all_of(peers.begin(), peers.end(), [](const auto& p) { return refused_or_closed(*p); });
     });
-    EXPECT_LT(Steady::now() - began, rubbish_limit);
+    EXPECT_LT(Steady::now() - began, reject_within);
     for (std::size_t i = 0; i < peers.size(); ++i) {
-        EXPECT_TRUE(refused_or_closed(*peers[i])) << rubbish()[i];
-        EXPECT_FALSE(contains(peers[i]->received, "HTTP/1.1 200")) << rubbish()[i];
+        EXPECT_TRUE(refused_or_closed(*peers[i])) << invalid_inputs()[i];
+        EXPECT_FALSE(contains(peers[i]->received, "HTTP/1.1 200")) << invalid_inputs()[i];
     }
     settle(s);
     for (const auto& upstream : s.upstreams) {
-        for (const auto& wire : upstream->connections)
-            ADD_FAILURE() << "reached an upstream: " << wire->received;
+        for (const auto& connection : upstream->connections)
+            ADD_FAILURE() << "reached an upstream: " << connection->received;
     }
 }
 
 // The end of such a body is unknown, whatever Content-Length says. If the request were accepted, what follows
 // the body could be parsed as another request (request smuggling).
-TEST(Rubbish, ABodyInAnUnknownTransferCodingIsRefused) {
+TEST(InvalidInput, ABodyInAnUnknownTransferCodingIsRejected) {
     HostHarness s;
     s.start();
     const auto client = s.connect_client();
@@ -93,8 +93,8 @@
         "Transfer-Encoding: gzip\r\nContent-Length: 4\r\n\r\nbody");
     settle(s);
     for (const auto& upstream : s.upstreams) {
-        for (const auto& wire : upstream->connections)
-            ADD_FAILURE() << "reached an upstream: " << wire->received;
+        for (const auto& connection : upstream->connections)
+            ADD_FAILURE() << "reached an upstream: " << connection->received;
     }
     EXPECT_GE(status_code(client->received), 400);
 }
@@ -111,8 +111,8 @@
 
 private:
     void read() {
-        socket_.async_read_some(asio::buffer(piece_), [this](auto error, std::size_t got) {
-            in_.append(piece_, got);
+        socket_.async_read_some(asio::buffer(read_buffer_), [this](auto error, std::size_t size) {
+            in_.append(read_buffer_, size);
             ended_ = static_cast<bool>(error);
             if (!error) read();
         });
@@ -121,22 +121,22 @@
     const std::string text_;
     std::string in_;
     bool ended_ = false;
-    char piece_[4096];
+    char read_buffer_[4096];
 };
 
-TEST(Rubbish, SixtyMegabytesOfItAreRefusedInTime) {
-    const std::string much(60'000'000, 'x');
+TEST(InvalidInput, SixtyMegabytesAreRejectedInTime) {
+    const std::string payload(60'000'000, 'x');
     const std::string head = "POST /api HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Call-Class: once\r\n";
     for (const std::string& beginning :
          {std::string(), head + "X-Long: ",
-          head + "X-Budget-Ms: 5000\r\nContent-Length: " + std::to_string(much.size()) + "\r\n\r\n",
+          head + "X-Budget-Ms: 5000\r\nContent-Length: " + std::to_string(payload.size()) + "\r\n\r\n",
           head + "X-Budget-Ms: 5000\r\nTransfer-Encoding: chunked\r\n\r\n3938700\r\n"}) {
         HostHarness s(1);
         s.start();
         const auto began = Steady::now();
-        Flood flood(s, beginning + much);
+        Flood flood(s, beginning + payload);
         s.run_until([&] { return flood.refused_or_closed(); });
-        EXPECT_LT(Steady::now() - began, flood_limit) << beginning;
+        EXPECT_LT(Steady::now() - began, flood_reject_within) << beginning;
         const auto client = s.connect_client();  // other clients are served meanwhile
         client->send(idempotent_request());
         s.await_request().first->send(ok_response());
