--- a/tests/message_forms_test.cpp
+++ b/tests/message_forms_test.cpp
@@ -132,25 +132,25 @@
             const auto connection = s.await_request().first;
             send_in_segments(s, *connection, form.text, size);
             if (form.closes) connection->close();
-            const auto answer = s.await_response(*client);
-            EXPECT_EQ(status_code(answer), 200) << form.description;
-            EXPECT_EQ(answer.substr(answer.find("\r\n\r\n") + 4), "served") << form.description;
+            const auto response = s.await_response(*client);
+            EXPECT_EQ(status_code(response), 200) << form.description;
+            EXPECT_EQ(response.substr(response.find("\r\n\r\n") + 4), "served") << form.description;
             s.host.reset();
         }
     }
 }
 
 TEST(SegmentedMessages, ARejectionInAnyFormIsRetried) {
-    for (const std::string refusal :
+    for (const std::string rejection :
          {"HTTP/1.1 503 Service Unavailable\r\nx-rejected:1\r\ncontent-length:0\r\n\r\n",
           "HTTP/1.1 504 \r\nX-REJECTED: \t1 \r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"}) {
         HostHarness s;
         s.start();
         const auto client = s.connect_client();
         client->send(at_most_once_request());
-        send_in_segments(s, *s.await_request().first, refusal, 3);
+        send_in_segments(s, *s.await_request().first, rejection, 3);
         s.await_request().first->send(ok_response());
-        EXPECT_EQ(status_code(s.await_response(*client)), 200) << refusal;
+        EXPECT_EQ(status_code(s.await_response(*client)), 200) << rejection;
         s.host.reset();
     }
 }
@@ -158,16 +158,16 @@
 // A response without a length ends with the close of the connection, not with a reset. After a reset the
 // attempt has failed, and the request may have run.
 TEST(SegmentedMessages, AResponseWithoutLengthThatIsResetIsNotForwarded) {
-    for (const bool unsafe : {true, false}) {
+    for (const bool at_most_once : {true, false}) {
         HostHarness s;
         s.start();
         const auto client = s.connect_client();
-        client->send(unsafe ? at_most_once_request() : idempotent_request());
+        client->send(at_most_once ? at_most_once_request() : idempotent_request());
         const auto connection = s.await_request().first;
         send_in_segments(s, *connection, "HTTP/1.1 200 OK\r\n\r\nserv", 7);
         connection->reset();
-        if (!unsafe) s.await_request().first->send(ok_response());
-        EXPECT_EQ(status_code(s.await_response(*client)), unsafe ? 502 : 200);
+        if (!at_most_once) s.await_request().first->send(ok_response());
+        EXPECT_EQ(status_code(s.await_response(*client)), at_most_once ? 502 : 200);
         settle(s);
         EXPECT_TRUE(s.no_unread_requests());
         s.host.reset();
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -27,10 +27,10 @@
     EXPECT_FALSE(contains(request, "X-Hop"));
     EXPECT_EQ(request.substr(request.size() - 5), std::string("a\0b\r\n", 5));
     connection->send(ok_response("x\r\ny", "X-Load-Report: active=1,avg_ms=2\r\n"));
-    const auto answer = s.await_response(*client);
-    EXPECT_EQ(status_code(answer), 200);
-    EXPECT_EQ(answer.substr(answer.size() - 4), "x\r\ny");
-    EXPECT_FALSE(contains(answer, "X-Load-Report"));
+    const auto response = s.await_response(*client);
+    EXPECT_EQ(status_code(response), 200);
+    EXPECT_EQ(response.substr(response.size() - 4), "x\r\ny");
+    EXPECT_FALSE(contains(response, "X-Load-Report"));
     EXPECT_FALSE(client->peer_closed);
 }
 
@@ -118,8 +118,8 @@
     }
 }
 
-// A close that arrives while a connection is idle is detected before reuse. An unsafe request written to such
-// a connection would be lost.
+// A close that arrives while a connection is idle is detected before reuse. An at-most-once request written
+// to such a connection would be lost.
 TEST(ConnectionReuse, DetectsACloseBeforeReuse) {
     HostHarness s(1);
     s.start();
@@ -128,8 +128,8 @@
     const auto connection = s.await_request().first;
     connection->send(ok_response());
     EXPECT_EQ(status_code(s.await_response(*client)), 200);
-    client->send(
-        at_most_once_request());  // the request and the close below arrive before the host reads either
+    // The request and the close below both arrive before the host reads either.
+    client->send(at_most_once_request());
     connection->close();
     s.await_request().first->send(ok_response());
     EXPECT_EQ(status_code(s.await_response(*client)), 200);
@@ -187,13 +187,13 @@
         s.start();
         const auto client = s.connect_client();
         client->send(at_most_once_request(150));
-        const auto answer = s.await_response(*client);
-        EXPECT_EQ(status_code(answer), 503);
-        EXPECT_EQ(contains(answer, "Retry-After: 0.050\r\n"), advice_heeded) << answer;
+        const auto response = s.await_response(*client);
+        EXPECT_EQ(status_code(response), 503);
+        EXPECT_EQ(contains(response, "Retry-After: 0.050\r\n"), advice_heeded) << response;
     }
 }
 
-// A request that was written completely may have run, so an unsafe one is neither retried nor refused.
+// A request that was written completely may have run, so an at-most-once one is neither retried nor refused.
 TEST(Outcomes, ResetAfterTheLastByteIsNotRetried) {
     HostHarness s;
     s.start();
@@ -435,7 +435,7 @@
     s.config["limits"]["sockets"] = 36;  // two of them for clients
     s.start();
     const auto busy = s.connect_client();
-    busy->send(at_most_once_request());  // unsafe, so its attempt is not ended early for a retry
+    busy->send(at_most_once_request());  // never retried, so its attempt is not ended early
     const auto connection = s.await_request().first;
     const auto idle = s.connect_client();
     const auto idle_since = std::chrono::steady_clock::now();
@@ -516,9 +516,9 @@
     EXPECT_TRUE(contains(s.await_response(*late), "late"));
     s.run_until([&] { return idle->peer_closed; });
     connection->send(ok_response("held"));
-    const auto answer = s.await_response(*held);
-    EXPECT_TRUE(contains(answer, "held"));
-    EXPECT_TRUE(contains(answer, "Connection: close\r\n"));
+    const auto response = s.await_response(*held);
+    EXPECT_TRUE(contains(response, "held"));
+    EXPECT_TRUE(contains(response, "Connection: close\r\n"));
     s.run_until([&] { return held->peer_closed; });
     held->close();
     s.run_until([&] { return s.host->drained(); });
