--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -5,7 +5,6 @@
 #include <gtest/gtest.h>
 
 #include "discovery_peers.h"
-#include "net/discovery.h"
 
 namespace flaxdoor::test {
 
