--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -35,17 +35,17 @@
             HostHarness s;
             s.start();
             s.run_until([&] { return received_request(s.discovery, 1); });
-            auto wire = s.discovery.connections[0];
+            auto connection = s.discovery.connections[0];
             json update = s.list_json(11, false);
             update["hosts"] = {s.upstream_json(0, "leaving")};
-            wire->send(watch_response_head + chunk(update.dump() + "\n"));
+            connection->send(watch_response_head + chunk(update.dump() + "\n"));
             if (new_watch) {
-                wire->close();
+                connection->close();
                 s.run_until([&] { return received_request(s.discovery, 2); });
-                wire = s.discovery.connections[1];
-                wire->send(watch_response_head);
+                connection = s.discovery.connections[1];
+                connection->send(watch_response_head);
             }
-            wire->send(chunk(s.list_json(10, full).dump() + "\n"));
+            connection->send(chunk(s.list_json(10, full).dump() + "\n"));
             process_pending_events(s);
             expect_none_to_first(s);
             s.host.reset();
@@ -95,12 +95,12 @@
     s.start();
     const auto client = s.connect_client();
     client->send(idempotent_request(5000, "first"));
-    const auto wire = s.await_request().first;
-    wire->send(ok_response("to the first"));
+    const auto connection = s.await_request().first;
+    connection->send(ok_response("to the first"));
     EXPECT_TRUE(contains(s.await_response(*client), "to the first"));
     client->send(idempotent_request(5000, "second"));
     const auto next = s.await_request().first;
-    wire->send(ok_response("to the first, again"));
+    connection->send(ok_response("to the first, again"));
     process_pending_events(s);
     next->send(ok_response("to the second"));
     EXPECT_TRUE(contains(s.await_response(*client), "to the second"));
@@ -118,9 +118,9 @@
     for (int i = 0; i < max_requests_before_reuse; ++i) {
         const auto client = s.connect_client();
         client->send(request);
-        const auto wire = s.await_request().first;
-        if (!used.insert(wire).second) return std::pair{client, wire};
-        wire->send(ok_response());
+        const auto connection = s.await_request().first;
+        if (!used.insert(connection).second) return std::pair{client, connection};
+        connection->send(ok_response());
         EXPECT_EQ(status_code(s.await_response(*client)), 200);
         client->close();
     }
@@ -138,8 +138,8 @@
         s.run_until([&] { return s.all_upstream_connections_closed(); });
         return;
     }
-    const auto& [client, wire] = *reused;
-    wire->send(ok_response("to the one before, again"));
+    const auto& [client, connection] = *reused;
+    connection->send(ok_response("to the one before, again"));
     EXPECT_FALSE(contains(s.await_response(*client), "to the one before"));
 }
 
@@ -151,17 +151,18 @@
         s.start();
         const auto client = s.connect_client();
         client->send(idempotent_request());
-        auto wire = s.await_request().first;
-        wire->send(in_one_write ? ok_response() + ok_response() : ok_response());
+        auto connection = s.await_request().first;
+        connection->send(in_one_write ? ok_response() + ok_response() : ok_response());
         EXPECT_EQ(status_code(s.await_response(*client)), 200);
-        if (!in_one_write) wire->send(ok_response());
-        s.run_until([&] { return wire->peer_closed; });
-        std::set<std::shared_ptr<PeerConnection>> used{wire};
+        if (!in_one_write) connection->send(ok_response());
+        s.run_until([&] { return connection->peer_closed; });
+        std::set<std::shared_ptr<PeerConnection>> used{connection};
         for (int i = 0; i < 12; ++i) {
             client->send(idempotent_request());
-            wire = s.await_request().first;
+            connection = s.await_request().first;
             // On a reused connection, this could be a duplicate response to the preceding request.
-            wire->send(used.insert(wire).second ? ok_response("to this") : ok_response("to another"));
+            connection->send(used.insert(connection).second ? ok_response("to this")
+                                                            : ok_response("to another"));
             EXPECT_TRUE(contains(s.await_response(*client), "to this"));
         }
         s.host.reset();
@@ -211,8 +212,8 @@
     s.start();
     const auto reused = first_reused_connection(s, at_most_once_request());
     ASSERT_TRUE(reused) << "no connection was reused";
-    const auto& [client, wire] = *reused;
-    wire->send(rejection_response);
+    const auto& [client, connection] = *reused;
+    connection->send(rejection_response);
     EXPECT_EQ(status_code(s.await_response(*client)), 502);
     EXPECT_TRUE(s.no_unread_requests());
 }
@@ -223,8 +224,8 @@
     s.start();
     const auto reused = first_reused_connection(s, idempotent_request());
     ASSERT_TRUE(reused) << "no connection was reused";
-    const auto& [client, wire] = *reused;
-    wire->send(rejection_response);
+    const auto& [client, connection] = *reused;
+    connection->send(rejection_response);
     s.await_request().first->send(ok_response());
     EXPECT_EQ(status_code(s.await_response(*client)), 200);
 }
@@ -287,9 +288,9 @@
         client->close();
         other->send(idempotent_request(5000, "stays"));
         s.await_request().first->reset();
-        const auto [wire, request] = s.await_request();
+        const auto [connection, request] = s.await_request();
         EXPECT_TRUE(contains(request, "stays")) << extra_bytes;
-        wire->send(ok_response());
+        connection->send(ok_response());
         EXPECT_EQ(status_code(s.await_response(*other)), 200);
         s.host.reset();
     }
@@ -303,8 +304,8 @@
         s.start();
         const auto client = s.connect_client();
         client->send(idempotent_request());
-        const auto wire = s.await_request().first;
-        wire->send(rejection_response);
+        const auto connection = s.await_request().first;
+        connection->send(rejection_response);
         client->send(std::string(extra_bytes, 'x'));
         client->close();
         process_pending_events(s);
@@ -321,8 +322,8 @@
         client->send(idempotent_request());
         process_pending_events(s);
         std::shared_ptr<PeerConnection> served;
-        for (const auto& wire : s.upstreams[1]->connections) {
-            if (!wire->take_message().empty()) served = wire;
+        for (const auto& connection : s.upstreams[1]->connections) {
+            if (!connection->take_message().empty()) served = connection;
         }
         if (!served) return client;
         served->send(ok_response());
@@ -342,7 +343,8 @@
         client->close();
         process_pending_events(s);
         slow.accept_all(s);
-        for (const auto& wire : slow.connections) EXPECT_FALSE(contains(wire->received, "GET")) << may_cancel;
+        for (const auto& connection : slow.connections)
+            EXPECT_FALSE(contains(connection->received, "GET")) << may_cancel;
         s.host.reset();
     }
 }
@@ -393,7 +395,8 @@
         s.discovery.connections[0]->send(watch_response_head + chunk(update.dump() + "\n"));
         process_pending_events(s);
         slow.accept_all(s);
-        for (const auto& wire : slow.connections) EXPECT_FALSE(contains(wire->received, "GET")) << how;
+        for (const auto& connection : slow.connections)
+            EXPECT_FALSE(contains(connection->received, "GET")) << how;
         s.await_request().first->send(ok_response("from the other"));
         EXPECT_TRUE(contains(s.await_response(*client), "from the other")) << how;
         s.host.reset();
@@ -421,8 +424,8 @@
         client = s.connect_client();
         client->send(deduplicated_request());
         process_pending_events(s);
-        for (const auto& wire : s.upstreams[1]->connections) {
-            if (!wire->take_message().empty()) first = wire;
+        for (const auto& connection : s.upstreams[1]->connections) {
+            if (!connection->take_message().empty()) first = connection;
         }
         if (!first) client->close();
     }
@@ -432,7 +435,7 @@
     first->reset();
     s.run_until([&] { return window_over; });
     slow.accept_all(s);
-    for (const auto& wire : slow.connections) EXPECT_FALSE(contains(wire->received, "POST"));
+    for (const auto& connection : slow.connections) EXPECT_FALSE(contains(connection->received, "POST"));
     EXPECT_EQ(status_code(s.await_response(*client)), 502);
 }
 
@@ -484,10 +487,10 @@
     s.start();
     const auto idle = s.connect_client(), last = s.connect_client();
     last->send(idempotent_request());
-    const auto wire = s.await_request().first;
+    const auto first_connection = s.await_request().first;
     s.host->drain();
     s.run_until([&] { return idle->peer_closed; });  // the drain has begun to close idle connections
-    wire->send(ok_response());
+    first_connection->send(ok_response());
     s.run_until([&] { return last->peer_closed; });
     last->close();
     std::vector<std::shared_ptr<PeerConnection>> late;
@@ -497,16 +500,16 @@
     }
     std::size_t answered = 0;
     s.run_until([&] {
-        for (const auto& wire : s.upstreams[0]->connections) {
-            if (!wire->take_message().empty()) wire->send(ok_response());
+        for (const auto& connection : s.upstreams[0]->connections) {
+            if (!connection->take_message().empty()) connection->send(ok_response());
         }
         answered = 0;
-        for (const auto& wire : late)
-            answered += status_code(wire->received) == 200 || status_code(wire->received) == 503;
+        for (const auto& client : late)
+            answered += status_code(client->received) == 200 || status_code(client->received) == 503;
         return answered == late.size() || drained(s);
     });
     EXPECT_EQ(answered, late.size());
-    for (const auto& wire : late) wire->close();
+    for (const auto& client : late) client->close();
     s.run_until([&] { return drained(s); });
 }
 
@@ -580,8 +583,8 @@
     client->send(idempotent_request());
     s.host->drain();
     s.run_until([&] {
-        for (const auto& wire : s.upstreams[0]->connections) {
-            if (!wire->take_message().empty()) wire->send(ok_response());
+        for (const auto& connection : s.upstreams[0]->connections) {
+            if (!connection->take_message().empty()) connection->send(ok_response());
         }
         if (const auto answer = client->take_message(); !answer.empty()) {
             answered += status_code(answer) == 200;
--- a/tests/discovery_peers.h
+++ b/tests/discovery_peers.h
@@ -49,8 +49,8 @@
 // checks, which carry no bytes.
 inline std::vector<std::shared_ptr<PeerConnection>> received_calls(const Listener& discovery) {
     std::vector<std::shared_ptr<PeerConnection>> calls;
-    for (const auto& wire : discovery.connections) {
-        if (!wire->received.empty()) calls.push_back(wire);
+    for (const auto& connection : discovery.connections) {
+        if (!connection->received.empty()) calls.push_back(connection);
     }
     return calls;
 }
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -297,11 +297,11 @@
         const bool watching = how != "silent, not a watch";
         watching ? client.watch() : client.fetch();
         s.run_until([&] { return received_request(s.discovery, 1); });
-        const auto wire = s.discovery.connections[0];
-        if (how == "rejected") wire->send(unavailable_response);
-        if (how == "reset") wire->reset();
-        if (how == "not HTTP") wire->send("nonsense\r\n\r\n");
-        if (how == "not a list") wire->send(watch_response_head + chunk("{}\n"));
+        const auto connection = s.discovery.connections[0];
+        if (how == "rejected") connection->send(unavailable_response);
+        if (how == "reset") connection->reset();
+        if (how == "not HTTP") connection->send("nonsense\r\n\r\n");
+        if (how == "not a list") connection->send(watch_response_head + chunk("{}\n"));
         s.run_until([&] { return !reports.failures.empty(); });
         EXPECT_EQ(reports.failures, std::vector{net::ListFailure::failed}) << how;
     }
@@ -326,12 +326,12 @@
         net::Discovery client(s.loop, s.discovery.address(), {}, reports);
         client.watch();
         s.run_until([&] { return received_request(s.discovery, 1); });
-        const auto wire = s.discovery.connections[0];
+        const auto connection = s.discovery.connections[0];
         if (!each.sent.empty()) {
-            wire->send(each.sent);
+            connection->send(each.sent);
             s.run_until([&] { return !reports.lists.empty(); });
         }
-        each.reset ? wire->reset() : wire->close();
+        each.reset ? connection->reset() : connection->close();
         s.run_until([&] { return !reports.failures.empty(); });
         EXPECT_EQ(reports.failures, std::vector{each.reported}) << each.name;
     }
@@ -416,8 +416,8 @@
     return list.dump() + "\n";
 }
 
-bool resumes_at(const PeerConnection& wire, int version) {
-    return contains(wire.received,
+bool resumes_at(const PeerConnection& connection, int version) {
+    return contains(connection.received,
                     "GET /v1/endpoints?stream=1&index=" + std::to_string(version) + " HTTP/1.1\r\n");
 }
 
@@ -430,18 +430,18 @@
         HostHarness s;
         s.start();
         s.run_until([&] { return received_request(s.discovery, 1); });
-        auto wire = s.discovery.connections[0];
-        wire->send(watch_response_head +
-                   chunk(list_line(s, 11, false, json::array({s.upstream_json(0, "leaving")}))));
-        wire->close();
+        auto connection = s.discovery.connections[0];
+        connection->send(watch_response_head +
+                         chunk(list_line(s, 11, false, json::array({s.upstream_json(0, "leaving")}))));
+        connection->close();
         s.run_until([&] { return received_request(s.discovery, 2); });
-        wire = s.discovery.connections[1];
-        EXPECT_TRUE(resumes_at(*wire, 11)) << what;
-        wire->send(watch_response_head + chunk("\n") +
-                   chunk(list_line(s, version, true, json::array({s.upstream_json(1)}))));
+        connection = s.discovery.connections[1];
+        EXPECT_TRUE(resumes_at(*connection, 11)) << what;
+        connection->send(watch_response_head + chunk("\n") +
+                         chunk(list_line(s, version, true, json::array({s.upstream_json(1)}))));
         settle(s);
         expect_none_to_first(s, what);
-        wire->close();
+        connection->close();
         s.run_until([&] { return received_request(s.discovery, 3); });
         EXPECT_TRUE(resumes_at(*s.discovery.connections[2], version)) << what;
         s.host.reset();
@@ -552,21 +552,22 @@
         HostHarness s;
         s.start();
         s.run_until([&] { return received_request(s.discovery, 1); });
-        const auto wire = s.discovery.connections[0];
-        wire->send(watch_response_head);
+        const auto connection = s.discovery.connections[0];
+        connection->send(watch_response_head);
         for (int version = 8; version < 12; ++version) {
-            wire->send(chunk(list_line(s, version, false, json::array({s.upstream_json(0, "leaving")}))));
+            connection->send(
+                chunk(list_line(s, version, false, json::array({s.upstream_json(0, "leaving")}))));
             settle(s);
         }
         if (partial)
-            wire->send(chunk(list_line(s, 12, false, json::array({s.upstream_json(0)})).substr(0, 40)));
+            connection->send(chunk(list_line(s, 12, false, json::array({s.upstream_json(0)})).substr(0, 40)));
         settle(s);
         asio::steady_timer limit(s.loop, watch_idle_timeout + std::chrono::seconds(1));
         bool late = false;
         limit.async_wait([&](auto) { late = true; });
         s.run_until([&] { return late || received_request(s.discovery, 2); });
         EXPECT_FALSE(late) << partial;
-        EXPECT_TRUE(wire->peer_closed) << partial;
+        EXPECT_TRUE(connection->peer_closed) << partial;
         EXPECT_TRUE(resumes_at(*s.discovery.connections.back(), 11)) << partial;
         expect_none_to_first(s, partial ? "half an object" : "silence");
         s.host.reset();
@@ -584,17 +585,18 @@
         s.discovery.connections[0]->close();
         for (std::size_t call = 2; call <= 4; ++call) {
             s.run_until([&] { return received_request(s.discovery, call); });
-            const auto wire = s.discovery.connections[call - 1];
-            EXPECT_TRUE(resumes_at(*wire, 8)) << how;
+            const auto connection = s.discovery.connections[call - 1];
+            EXPECT_TRUE(resumes_at(*connection, 8)) << how;
             const auto readmission =
                 list_line(s, 9, true, json::array({s.upstream_json(0), s.upstream_json(1)}));
-            if (how == "not HTTP") wire->send("nonsense\r\n\r\n");
-            if (how == "not JSON") wire->send(watch_response_head + chunk("{\"seq\":9,\"whole\":true,]\n"));
-            if (how == "no fields") wire->send(watch_response_head + chunk("{\"seq\":9}\n"));
+            if (how == "not HTTP") connection->send("nonsense\r\n\r\n");
+            if (how == "not JSON")
+                connection->send(watch_response_head + chunk("{\"seq\":9,\"whole\":true,]\n"));
+            if (how == "no fields") connection->send(watch_response_head + chunk("{\"seq\":9}\n"));
             if (how == "cut off")
-                wire->send(watch_response_head + chunk(readmission.substr(0, readmission.size() / 2)));
-            if (how == "rejected") wire->send(unavailable_response);
-            wire->close();
+                connection->send(watch_response_head + chunk(readmission.substr(0, readmission.size() / 2)));
+            if (how == "rejected") connection->send(unavailable_response);
+            connection->close();
         }
         s.run_until([&] { return received_request(s.discovery, 5); });
         expect_none_to_first(s, how);
--- a/tests/discovery_wait_test.cpp
+++ b/tests/discovery_wait_test.cpp
@@ -49,9 +49,9 @@
     void free_backlog_slot() { accepted_filler_ = acceptor_.accept(); }
 
     std::size_t checks() const {
-        return static_cast<std::size_t>(
-            std::count_if(connections.begin(), connections.end(),
-                          [](const auto& wire) { return wire->received.empty() && wire->peer_closed; }));
+        return static_cast<std::size_t>(std::count_if(
+            connections.begin(), connections.end(),
+            [](const auto& connection) { return connection->received.empty() && connection->peer_closed; }));
     }
 
     std::vector<std::shared_ptr<PeerConnection>> connections;  // in the order of their accept
--- a/tests/standing_terms_test.cpp
+++ b/tests/standing_terms_test.cpp
@@ -82,10 +82,10 @@
     upstreams.set_address(1, s.upstreams[0]->address());
     const Time expires = clock.now() + std::chrono::seconds(15);
     upstreams.send({1, 0}, 1, bare_request(size), expires, expires);
-    auto& wires = s.upstreams[0]->connections;
-    s.run_until([&] { return !wires.empty() && !wires[0]->received.empty(); });
-    ASSERT_LT(wires[0]->received.size(), size / 2);
-    wires[0]->reset();
+    auto& connections = s.upstreams[0]->connections;
+    s.run_until([&] { return !connections.empty() && !connections[0]->received.empty(); });
+    ASSERT_LT(connections[0]->received.size(), size / 2);
+    connections[0]->reset();
     s.run_until([&] { return sink.outcome.has_value(); });
     EXPECT_EQ(sink.outcome, Outcome::connect_failed);
 }
@@ -125,10 +125,10 @@
             client->send(unsafe ? at_most_once_request() : idempotent_request());
             std::string answer;
             s.run_until([&] {
-                for (const auto& wire : s.upstreams[1]->connections) {
-                    if (wire->take_message().empty()) continue;
+                for (const auto& connection : s.upstreams[1]->connections) {
+                    if (connection->take_message().empty()) continue;
                     ++arrived;
-                    wire->send(ok_response());
+                    connection->send(ok_response());
                 }
                 return !(answer = client->take_message()).empty();
             });
@@ -154,7 +154,7 @@
     process_pending_events(s);  // the request has been written
     acceptor.close();
     EXPECT_EQ(status_code(s.await_response(*client)),
-              502);  // and not 503, which would say that it was not executed
+              502);  // and not 503, which would mean that it was not executed
 }
 
 TEST(UpstreamReset, BeforeAcceptRetriesASafeRequest) {
@@ -377,17 +377,17 @@
     const auto client = s.connect_client();
     const auto sent = SteadyClock::now();
     client->send(idempotent_request(budget.count()));
-    auto wire = s.await_request().first;
+    auto connection = s.await_request().first;
     for (int retry = 1; retry <= 3; ++retry) {
         wait_for(s, rejection_delay);
         const auto left = budget - (SteadyClock::now() - sent);
-        wire->send(rejection_response);
+        connection->send(rejection_response);
         const auto next = s.await_request();
         EXPECT_GT(forwarded_budget(next.second), milliseconds(0)) << retry;
         EXPECT_LE(forwarded_budget(next.second), left) << retry;
-        wire = next.first;
+        connection = next.first;
     }
-    wire->send(ok_response());
+    connection->send(ok_response());
     EXPECT_EQ(status_code(s.await_response(*client)), 200);
 }
 
@@ -415,9 +415,9 @@
     slow.accept_all(s);
     std::string request;
     s.run_until([&] {
-        for (const auto& wire : slow.connections) {
-            if (const auto at = wire->received.find("GET "); at != std::string::npos)
-                request = wire->received.substr(at);
+        for (const auto& connection : slow.connections) {
+            if (const auto at = connection->received.find("GET "); at != std::string::npos)
+                request = connection->received.substr(at);
         }
         return contains(request, "\r\n\r\n");
     });
@@ -454,9 +454,9 @@
         }
         process_pending_events(s);
         s.discovery.connections[0]->send(watch_response_head + chunk(s.list_json(9, true).dump() + "\n"));
-        const auto [wire, request] = s.await_request();
+        const auto [connection, request] = s.await_request();
         EXPECT_TRUE(contains(request, "X-Call-Id: stays\r\n")) << how;
-        wire->send(ok_response());
+        connection->send(ok_response());
         EXPECT_EQ(status_code(s.await_response(*staying)), 200) << how;
         process_pending_events(s);
         EXPECT_TRUE(s.no_unread_requests()) << how;
