--- a/src/net/clients.h
+++ b/src/net/clients.h
@@ -51,8 +51,8 @@
 
     // Sends the only response to a request. Does nothing if the client has disconnected.
     void respond(RequestId request, HttpResponse response);
-    // Calls on_client_left() at once if the client of the request has disconnected by now, even if the event
-    // loop has not delivered that yet.
+    // Calls on_client_disconnected() at once if the client of the request has disconnected by now, even if
+    // the event loop has not delivered that yet.
     void detect_disconnect(RequestId request);
     // From now on a response closes its connection unless a further request has arrived on it, and idle
     // connections are closed. Returns whether other connections remain: a request is being received or
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -81,13 +81,14 @@
 // -------------------------------------------------------------------------------------- idle connections
 //
 // event on a reused connection  | tests
-// bytes without a request       | Kept.DropsAConnectionThatSpeaksUnasked
+// bytes without a request       | ConnectionReuse.DropsAConnectionWithUnsolicitedBytes
 // a late duplicate response     | Idle.ADuplicateResponseIsNeverGivenToTheNextRequest; after the reuse delay:
 //                               | Idle.ASecondAnswerLaterThanTheRestIsNeverGivenToTheNextRequest, and
 //                               | Idle.AfterADuplicateResponseNoLaterOneReachesAnotherRequest
 // a rejection                   | Idle.ARejectionThatMayBelongToAnotherRequestIsNoProof and those after it
-// the upstream's close          | Kept.NoticesAnEndBeforeReuse, Idle.ACloseAfterARequestCountsAsAReset
-// the balancer's idle close     | Kept.ClosesBeforeTheToldIdleLimit
+// the upstream's close          | ConnectionReuse.DetectsACloseBeforeReuse,
+//                               | Idle.ACloseAfterARequestCountsAsAReset
+// the balancer's idle close     | ConnectionReuse.ClosesBeforeTheConfiguredIdleTimeout
 
 // The duplicate response comes when the upstream has received the next request.
 TEST(Idle, ADuplicateResponseIsNeverGivenToTheNextRequest) {
@@ -270,7 +271,7 @@
 // a back-off             | ClientLeaves.NothingIsRetriedAfterABackOff, also with many unread client bytes
 // a connection           | ClientLeaves.NothingIsSentOnceItsConnectionIsEstablished
 // its turn in the loop   | ClientLeaves.ACloseNotYetReadIsNoticed
-// its response           | Serving.ClientThatLeavesEndsItsAttempt
+// its response           | Serving.ClientDisconnectEndsItsAttempt
 
 // Another client's request waits for the same back-off and started later: when that one is retried, the first
 // one's back-off is over.
@@ -443,9 +444,10 @@
 //
 // state of the request       | tests of SIGTERM, and of the time up to SIGKILL
 // not yet sent, or unread    | Shutdown.ANewConnectionCanSendItsRequest, .ConnectionsNotYetAcceptedAreServed
-// partly read                | Drain.WaitsForARequestThatIsComing
+// partly read                | Drain.WaitsForAPartlyReceivedRequest
 // waits for a back-off       | Shutdown.ARequestThatWaitsForABackOffIsAnswered
-// sent to an upstream        | Drain.ServesWhatComesAndThenEnds, Shutdown.ADeadlineAfterTheKillIsShortened
+// sent to an upstream        | Drain.ServesArrivingRequestsAndThenEnds,
+//                            | Shutdown.ADeadlineAfterTheKillIsShortened
 // response partly written    | Shutdown.APartlyWrittenResponseIsCompleted
 // next on a keep-alive one   | Shutdown.RequestsSentDuringTheCloseAreAnswered
 
--- a/tests/second_answer_worlds_test.cpp
+++ b/tests/second_answer_worlds_test.cpp
@@ -82,7 +82,7 @@
     return observed;
 }
 
-// Kept.ReusesAConnection requires that the response reaches the client, the known failure
+// ConnectionReuse.ReusesAConnection requires that the response reaches the client, the known failure
 // Idle.ASecondAnswerLaterThanTheRestIsNeverGivenToTheNextRequest that it does not. The two differ only in the
 // text of the body, which is opaque to the balancer. Where a connection carries another request that is not
 // marked as its last, one of the two has to fail.
