--- a/tests/standing_terms_test.cpp
+++ b/tests/standing_terms_test.cpp
@@ -285,7 +285,7 @@
     }
     program.write_config(valid);
     program.signal(SIGHUP);
-    program.expect_line("configuration read anew");
+    program.expect_line("configuration reloaded");
     s.run_until([&] { return received_request(moved, 1); });
     program.signal(SIGTERM);
     program.expect_line("drained");
